--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,8 @@
 MODULES = api lib fold daemon standin load cmd proofs bench router platform
 PACKAGES = $(MODULES:%=./%/...)
 STATICCHECK = honnef.co/go/tools/cmd/staticcheck@v0.8.2
+# Renames identifiers in all modules: go run $(GOPLS) rename -w FILE.go:LINE:COLUMN NAME
+GOPLS = golang.org/x/tools/gopls@v0.23.0
 
 .PHONY: build test fuzz fuzz-decoders soak lint run bench capacity refusals clean
 
