--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -24,7 +24,7 @@
 	limits  map[string]int64
 	budgets []prepaid.Budget
 
-	treasuries []*prepaid.Treasury
+	treasuries []*prepaid.Allocator
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -27,7 +27,7 @@
 // pool is a fleet of hosts that share prepaid budgets, in one process.
 type pool struct {
 	log        *memlog.Log
-	treasuries []*prepaid.Treasury
+	treasuries []*prepaid.Allocator
 }
 
 // newPool starts n hosts in five failure domains; parts are those of the organisations.
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -47,7 +47,7 @@
 
 // fakeBudgets counts reservations; free bounds them if it is not negative.
 type fakeBudgets struct {
-	treasury *prepaid.Treasury
+	treasury *prepaid.Allocator
 	err      error
 }
 
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -71,7 +71,7 @@
 	observer     *observe.Observer
 	handler      *forward.Handler
 	targets      *target.Registry
-	treasury     *prepaid.Treasury
+	treasury     *prepaid.Allocator
 	fleet        *fleet.Fleet
 	retries      *retrybudget.Set
 	overload     *overload.Monitor
--- a/router/prepaid/append_test.go
+++ b/router/prepaid/append_test.go
@@ -22,7 +22,7 @@
 			h := newHosts(t, 2)
 			a, _ := h.start("a", nil)
 			b, _ := h.start("b", nil)
-			for _, tr := range []*Treasury{a, b} {
+			for _, tr := range []*Allocator{a, b} {
 				tr.Configure(1, []Budget{{"org", 1000}}, true)
 			}
 			spent := spend(a, "org", 10, 10) + spend(b, "org", 10, 10)
@@ -48,7 +48,7 @@
 	h := newHosts(t, 2)
 	a, _ := h.start("a", nil)
 	b, _ := h.start("b", nil)
-	for _, tr := range []*Treasury{a, b} {
+	for _, tr := range []*Allocator{a, b} {
 		tr.Configure(1, []Budget{{"org", 1000}}, true)
 	}
 	spent := int64(0)
--- a/router/prepaid/clerk.go
+++ b/router/prepaid/clerk.go
@@ -14,7 +14,7 @@
 // clerk keeps the accounts of one partition: it is the only one on this host that
 // appends to it, one append at a time.
 type clerk struct {
-	treasury  *Treasury
+	treasury  *Allocator
 	partition eventlog.Partition
 	kicked    chan struct{} // full: a round is due anyway
 
@@ -44,7 +44,7 @@
 // conflictTries bounds the appends of one round that other hosts' came before.
 const conflictTries = 6
 
-func newClerk(t *Treasury, number int) *clerk {
+func newClerk(t *Allocator, number int) *clerk {
 	c := &clerk{
 		treasury:  t,
 		partition: eventlog.Partition{Topic: t.opts.Topic, Number: number},
@@ -57,7 +57,7 @@
 
 // clerkOf is the clerk of a organisation's account. The partition of an account is
 // fixed by its name.
-func (t *Treasury) clerkOf(organisation string) *clerk {
+func (t *Allocator) clerkOf(organisation string) *clerk {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(organisation))
 	return t.clerks[int(h.Sum32()%uint32(len(t.clerks)))]
@@ -266,11 +266,11 @@
 
 // returns says whether tokens may be given back to the log. While it is away they would be out of
 // use until it has answered: they are debited before the append.
-func (t *Treasury) returns() bool { return t.opts.LogUp == nil || t.opts.LogUp() }
+func (t *Allocator) returns() bool { return t.opts.LogUp == nil || t.opts.LogUp() }
 
 // change is what is to be asked of an account; the treasury's lock is held. returns says whether
 // tokens that are not needed may go back.
-func (t *Treasury) change(organisation string, w *wallet, returns bool) Change {
+func (t *Allocator) change(organisation string, w *wallet, returns bool) Change {
 	if t.closing {
 		return Change{Return: w.free}
 	}
@@ -281,7 +281,7 @@
 	return change
 }
 
-func (t *Treasury) wantedChange(organisation string, w *wallet) Change {
+func (t *Allocator) wantedChange(organisation string, w *wallet) Change {
 	count, keeper := t.keeps(organisation, w)
 	if !keeper {
 		return w.changeForWaiting(time.Now())
--- a/router/prepaid/fuzz_test.go
+++ b/router/prepaid/fuzz_test.go
@@ -18,8 +18,8 @@
 // was lowered and every host knows it, nothing more is spent above it.
 type model struct {
 	log      *memlog.Log
-	hosts    []*Treasury
-	open     map[*Treasury][]*Reservation
+	hosts    []*Allocator
+	open     map[*Allocator][]*Reservation
 	starts   int
 	limit    int64
 	version  int64
@@ -76,7 +76,7 @@
 
 func TestNeverOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{log: memlog.New(), hosts: make([]*Treasury, fuzzHosts), open: map[*Treasury][]*Reservation{}}
+		m := &model{log: memlog.New(), hosts: make([]*Allocator, fuzzHosts), open: map[*Allocator][]*Reservation{}}
 		m.limit = rapid.Int64Range(10, 2000).Draw(t, "limit")
 		m.highest, m.version = m.limit, 1
 		m.keepers = rapid.IntRange(0, fuzzHosts-1).Draw(t, "keepers")
@@ -139,7 +139,7 @@
 }
 
 // note counts a reservation, if it is one.
-func (m *model) note(tr *Treasury, r *Reservation) {
+func (m *model) note(tr *Allocator, r *Reservation) {
 	if r != nil {
 		m.open[tr] = append(m.open[tr], r)
 		m.reserved += r.Tokens()
--- a/router/prepaid/gifts.go
+++ b/router/prepaid/gifts.go
@@ -12,7 +12,7 @@
 
 // giveIdle gives the tokens of budgets that this host is no keeper of and has not
 // used for a while to a keeper.
-func (t *Treasury) giveIdle(ctx context.Context, c *clerk) {
+func (t *Allocator) giveIdle(ctx context.Context, c *clerk) {
 	if t.opts.GiveBack == nil {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // tellLeft tells what is left here of budgets whose idle tokens are given away.
-func (t *Treasury) tellLeft(idle map[string]int64) {
+func (t *Allocator) tellLeft(idle map[string]int64) {
 	if t.opts.OnGive == nil {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // takeIdle debits idle tokens of a clerk's budgets.
-func (t *Treasury) takeIdle(c *clerk, now time.Time) map[string]int64 {
+func (t *Allocator) takeIdle(c *clerk, now time.Time) map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	idle := map[string]int64{}
@@ -61,7 +61,7 @@
 
 // HandOver gives all free tokens to other hosts and takes no more; give says
 // whether one took them. Without an answer in time they count as spent.
-func (t *Treasury) HandOver(ctx context.Context, give func(ctx context.Context, organisation string, tokens int64) bool) {
+func (t *Allocator) HandOver(ctx context.Context, give func(ctx context.Context, organisation string, tokens int64) bool) {
 	t.mu.Lock()
 	t.closing = true
 	free := map[string]int64{}
@@ -93,7 +93,7 @@
 
 // Credit takes in a gift, however often it comes, once; it says whether the gift was
 // taken. A host that is stopping or does not know the budget takes none.
-func (t *Treasury) Credit(g Gift) (took bool) {
+func (t *Allocator) Credit(g Gift) (took bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if answer, known := t.gifts.answer(g.ID); known {
--- a/router/prepaid/harness_test.go
+++ b/router/prepaid/harness_test.go
@@ -31,7 +31,7 @@
 }
 
 // start starts a treasury; stop kills it without giving anything back.
-func (h *hosts) start(name string, borrow func(context.Context, string, int64, float64) Loan) (tr *Treasury, stop func()) {
+func (h *hosts) start(name string, borrow func(context.Context, string, int64, float64) Loan) (tr *Allocator, stop func()) {
 	return h.startWith(Options{
 		Log: h.log.Host(name), Topic: "b", Partitions: 2, Host: name, Plan: DefaultPlan,
 		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, Wait: 100 * time.Millisecond,
@@ -39,7 +39,7 @@
 	})
 }
 
-func (h *hosts) startWith(opts Options) (tr *Treasury, stop func()) {
+func (h *hosts) startWith(opts Options) (tr *Allocator, stop func()) {
 	tr = New(opts)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -55,7 +55,7 @@
 	return tr, stop
 }
 
-func (h *hosts) account(tr *Treasury, organisation string) Account {
+func (h *hosts) account(tr *Allocator, organisation string) Account {
 	h.t.Helper()
 	rec, ok := h.log.Get(tr.clerkOf(organisation).partition, organisation)
 	if !ok {
@@ -69,7 +69,7 @@
 }
 
 // spend reserves and settles until the treasury has no more, at most n times.
-func spend(tr *Treasury, organisation string, tokens int64, n int) (spent int64) {
+func spend(tr *Allocator, organisation string, tokens int64, n int) (spent int64) {
 	for range n {
 		r, err := tr.Reserve(context.Background(), organisation, tokens)
 		if err != nil {
--- a/router/prepaid/history.go
+++ b/router/prepaid/history.go
@@ -36,7 +36,7 @@
 
 // noteVersion takes a version into the history; missed says that versions before it may
 // have been skipped. The lock is held.
-func (t *Treasury) noteVersion(version int64, missed bool) {
+func (t *Allocator) noteVersion(version int64, missed bool) {
 	switch {
 	case t.history.UpTo == 0:
 		t.history.Since = version
@@ -49,12 +49,12 @@
 }
 
 // noteLowered notes that a version lowered a limit; the lock is held.
-func (t *Treasury) noteLowered(organisation string, version int64) {
+func (t *Allocator) noteLowered(organisation string, version int64) {
 	t.history.Lowered[organisation] = max(t.history.Lowered[organisation], version)
 }
 
 // History is what this host can tell others: what it saw since its last gap.
-func (t *Treasury) History() History {
+func (t *Allocator) History() History {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := History{Since: max(t.history.Since, t.gap.until), UpTo: t.history.UpTo, Lowered: map[string]int64{}}
@@ -65,7 +65,7 @@
 }
 
 // missed says which versions this host did not see and can't spend budgets for.
-func (t *Treasury) missed() (g gap, waits bool) {
+func (t *Allocator) missed() (g gap, waits bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.gap.until == 0 {
@@ -80,7 +80,7 @@
 }
 
 // learn takes in what another host saw, and says whether that fills this host's gap.
-func (t *Treasury) learn(h History) (filled bool) {
+func (t *Allocator) learn(h History) (filled bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.gap.until == 0 || h.Since > t.gap.after || h.UpTo < t.gap.until {
@@ -116,7 +116,7 @@
 )
 
 // fillGaps asks other hosts for missed versions until ctx ends.
-func (t *Treasury) fillGaps(ctx context.Context) {
+func (t *Allocator) fillGaps(ctx context.Context) {
 	if t.opts.Histories == nil {
 		return
 	}
--- a/router/prepaid/history_test.go
+++ b/router/prepaid/history_test.go
@@ -12,7 +12,7 @@
 )
 
 // holder is a treasury that holds tokens and can't reach the log.
-func holder(limit int64) (*Treasury, *wallet) {
+func holder(limit int64) (*Allocator, *wallet) {
 	tr := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
 	tr.Configure(1, []Budget{{"org", limit}}, true)
 	w := tr.wallets["org"]
@@ -127,7 +127,7 @@
 // fleetOfLimits is hosts that see versions of one budget, each its own part of them.
 type fleetOfLimits struct {
 	limits []int64 // by version, from 1
-	hosts  []*Treasury
+	hosts  []*Allocator
 	seen   [][]int64 // the limits up to each host's version, read or missed
 }
 
--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -49,7 +49,7 @@
 // keeps says how many hosts take slices of a budget and whether this one does: as a
 // keeper, because others took it for one, or because its own demand is worth it. The lock
 // is held.
-func (t *Treasury) keeps(organisation string, w *wallet) (count int, self bool) {
+func (t *Allocator) keeps(organisation string, w *wallet) (count int, self bool) {
 	if t.opts.Keepers == nil {
 		return max(t.opts.Hosts(), 1), true
 	}
@@ -59,10 +59,10 @@
 }
 
 // sparse says whether few of many hosts take slices of a budget; the lock is held.
-func (t *Treasury) sparse(count int) bool { return count < t.opts.Hosts() }
+func (t *Allocator) sparse(count int) bool { return count < t.opts.Hosts() }
 
 // keeper says whether this host takes slices of a budget.
-func (t *Treasury) keeper(organisation string) bool {
+func (t *Allocator) keeper(organisation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[organisation]
@@ -74,7 +74,7 @@
 }
 
 // borrow asks other hosts for what the wallet lacks.
-func (t *Treasury) borrow(q Request) (got *Reservation, answered bool, err error) {
+func (t *Allocator) borrow(q Request) (got *Reservation, answered bool, err error) {
 	organisation, tokens := q.Organisation, q.Tokens
 	if t.opts.Borrow == nil {
 		return nil, false, nil
@@ -97,7 +97,7 @@
 // missing is what the wallet lacks for a request. Nothing is borrowed beyond it: what a host
 // holds that is no keeper is out of others' reach. refused says that other hosts had too
 // little for as much a moment ago.
-func (t *Treasury) missing(organisation string, tokens int64, now time.Time) (missing int64, refused bool) {
+func (t *Allocator) missing(organisation string, tokens int64, now time.Time) (missing int64, refused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[organisation]
@@ -112,7 +112,7 @@
 }
 
 // takeLoan takes in a loan.
-func (t *Treasury) takeLoan(organisation string, wanted int64, loan Loan) {
+func (t *Allocator) takeLoan(organisation string, wanted int64, loan Loan) {
 	if loan.Tokens > 0 {
 		t.credit(organisation, loan.Tokens)
 	}
@@ -130,7 +130,7 @@
 // Lend takes tokens out of this host's slice for another host, up to those needed. A keeper
 // waits a moment for a slice. What is lent is gone from here, whether or not the
 // other host gets it, unless it recalls the loan.
-func (t *Treasury) Lend(ctx context.Context, ask LoanRequest) Loan {
+func (t *Allocator) Lend(ctx context.Context, ask LoanRequest) Loan {
 	loan := t.lend(ctx, ask)
 	if loan.Tokens < ask.Tokens {
 		loan.Free = t.lendable(ask.Organisation)
@@ -138,7 +138,7 @@
 	return loan
 }
 
-func (t *Treasury) lend(ctx context.Context, ask LoanRequest) Loan {
+func (t *Allocator) lend(ctx context.Context, ask LoanRequest) Loan {
 	keeper := t.takeOver(ask)
 	if ctx.Err() != nil {
 		return Loan{}
@@ -165,7 +165,7 @@
 
 // gather gets what a loan lacks from other keepers, for a keeper that ran dry: the host that
 // asked does not ask all of them. nil: they have too little.
-func (t *Treasury) gather(ctx context.Context, ask LoanRequest) *Reservation {
+func (t *Allocator) gather(ctx context.Context, ask LoanRequest) *Reservation {
 	if t.opts.Gather == nil || ctx.Err() != nil {
 		return nil
 	}
@@ -182,7 +182,7 @@
 }
 
 // lendable is what this host could lend at once.
-func (t *Treasury) lendable(organisation string) int64 {
+func (t *Allocator) lendable(organisation string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[organisation]
@@ -193,7 +193,7 @@
 }
 
 // takeOver notes that another host takes this one for a keeper, and says whether it is one.
-func (t *Treasury) takeOver(ask LoanRequest) (keeper bool) {
+func (t *Allocator) takeOver(ask LoanRequest) (keeper bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[ask.Organisation]
@@ -209,7 +209,7 @@
 
 // lendFree lends of what is free. A keeper lends all that is asked for or nothing,
 // since it may wait for more.
-func (t *Treasury) lendFree(ask LoanRequest, keeper bool) int64 {
+func (t *Allocator) lendFree(ask LoanRequest, keeper bool) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[ask.Organisation]
@@ -237,7 +237,7 @@
 }
 
 // lendReserved turns a reservation into a loan.
-func (t *Treasury) lendReserved(id string, r *Reservation) int64 {
+func (t *Allocator) lendReserved(id string, r *Reservation) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[r.organisation]
@@ -258,7 +258,7 @@
 
 // Recall takes back a loan whose borrower got no answer and never uses it. It may
 // come before the request for the loan, which then lends nothing, and more than once.
-func (t *Treasury) Recall(id string) (tokens int64) {
+func (t *Allocator) Recall(id string) (tokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	loan := t.loans.recall(id)
@@ -272,7 +272,7 @@
 	return loan.tokens
 }
 
-func (t *Treasury) credit(organisation string, tokens int64) {
+func (t *Allocator) credit(organisation string, tokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w := t.wallets[organisation]; w != nil {
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -21,7 +21,7 @@
 	b, _ := h.start("b", func(ctx context.Context, organisation string, n int64, _ float64) Loan {
 		return a.Lend(ctx, LoanRequest{Organisation: organisation, Tokens: n})
 	})
-	for _, tr := range []*Treasury{a, b} {
+	for _, tr := range []*Allocator{a, b} {
 		tr.Configure(1, []Budget{{"org", 1000}}, true)
 	}
 	r, err := a.Reserve(context.Background(), "org", 500) // a takes most of what b left
@@ -114,7 +114,7 @@
 		},
 		OnCall: func(string) { calls.Add(1) },
 	})
-	for _, tr := range []*Treasury{keeper, borrower} {
+	for _, tr := range []*Allocator{keeper, borrower} {
 		tr.Configure(1, []Budget{{"org", 1000}}, true)
 	}
 	spent := spend(borrower, "org", 300, 1)
--- a/router/prepaid/shed.go
+++ b/router/prepaid/shed.go
@@ -141,7 +141,7 @@
 
 // shed notes a request and says whether it has to give way. Only a host that takes slices of
 // the budget decides it: others see few of its requests.
-func (t *Treasury) shed(organisation string, cost float64, tokens int64) bool {
+func (t *Allocator) shed(organisation string, cost float64, tokens int64) bool {
 	if cost <= 0 {
 		return false
 	}
@@ -174,7 +174,7 @@
 
 // rations says whether what is left of a budget is to last for those of its requests that cost
 // less: until the next top-up once all hosts were lost. The lock is held.
-func (t *Treasury) rations(organisation string, w *wallet, now time.Time) bool {
+func (t *Allocator) rations(organisation string, w *wallet, now time.Time) bool {
 	switch {
 	case t.opts.AllLost != nil && !t.opts.AllLost():
 		w.ration = ration{}
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -58,8 +58,8 @@
 	OnCall func(outcome string)
 }
 
-// Treasury holds this host's slices of all budgets.
-type Treasury struct {
+// Allocator holds this host's slices of all budgets.
+type Allocator struct {
 	opts Options
 
 	mu      sync.Mutex
@@ -77,11 +77,11 @@
 }
 
 // New makes a treasury without budgets; Run serves it.
-func New(opts Options) *Treasury {
+func New(opts Options) *Allocator {
 	if opts.Again <= 0 {
 		opts.Again = defaultAgain
 	}
-	t := &Treasury{opts: opts, wallets: map[string]*wallet{}, changed: make(chan struct{}), loans: newLoanBook(), gifts: newGiftBook(),
+	t := &Allocator{opts: opts, wallets: map[string]*wallet{}, changed: make(chan struct{}), loans: newLoanBook(), gifts: newGiftBook(),
 		history: History{Lowered: map[string]int64{}}, gapped: make(chan struct{}, 1)}
 	for i := range max(opts.Partitions, 1) {
 		t.clerks = append(t.clerks, newClerk(t, i))
@@ -92,7 +92,7 @@
 const defaultAgain = 80 * time.Millisecond
 
 // Run keeps the slices until ctx ends.
-func (t *Treasury) Run(ctx context.Context) {
+func (t *Allocator) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, c := range t.clerks {
 		all.Go(func() { c.run(ctx) })
@@ -102,7 +102,7 @@
 }
 
 // SetPlan changes how slices are sized.
-func (t *Treasury) SetPlan(p Plan) {
+func (t *Allocator) SetPlan(p Plan) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.opts.Plan = p
@@ -116,7 +116,7 @@
 
 // Configure takes over the budgets of a configuration. missed says that versions
 // may have been skipped before it.
-func (t *Treasury) Configure(version int64, budgets []Budget, missed bool) {
+func (t *Allocator) Configure(version int64, budgets []Budget, missed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, b := range budgets {
@@ -149,7 +149,7 @@
 
 // Reservation is tokens set aside for one request.
 type Reservation struct {
-	treasury     *Treasury
+	treasury     *Allocator
 	organisation string
 	tokens       int64
 	settled      bool
@@ -163,13 +163,13 @@
 }
 
 // Reserve is ReserveFor of a request of the most urgent kind.
-func (t *Treasury) Reserve(ctx context.Context, organisation string, tokens int64) (*Reservation, error) {
+func (t *Allocator) Reserve(ctx context.Context, organisation string, tokens int64) (*Reservation, error) {
 	return t.ReserveFor(ctx, Request{Organisation: organisation, Tokens: tokens})
 }
 
 // ReserveFor sets a request's tokens aside, waiting for a slice if need be. The error is
 // ErrNever, ErrEmpty, ErrKept or that of ctx. A organisation without a budget has no limit.
-func (t *Treasury) ReserveFor(ctx context.Context, q Request) (*Reservation, error) {
+func (t *Allocator) ReserveFor(ctx context.Context, q Request) (*Reservation, error) {
 	organisation, tokens := q.Organisation, q.Tokens
 	if t.shed(organisation, q.cost(), tokens) {
 		return nil, ErrKept
@@ -199,7 +199,7 @@
 }
 
 // reserveOwn waits for a slice from the log.
-func (t *Treasury) reserveOwn(ctx context.Context, organisation string, tokens int64, limit time.Duration) (*Reservation, error) {
+func (t *Allocator) reserveOwn(ctx context.Context, organisation string, tokens int64, limit time.Duration) (*Reservation, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	t.wait(organisation, tokens)
@@ -225,7 +225,7 @@
 
 // exhausted says whether the account can't give what the request lacks, as far
 // as this host knows.
-func (t *Treasury) exhausted(organisation string, tokens int64) bool {
+func (t *Allocator) exhausted(organisation string, tokens int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[organisation]
@@ -237,7 +237,7 @@
 }
 
 // try reserves if the wallet has enough; nil if it has not.
-func (t *Treasury) try(organisation string, tokens int64) (*Reservation, error) {
+func (t *Allocator) try(organisation string, tokens int64) (*Reservation, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[organisation]
@@ -260,7 +260,7 @@
 
 // hasRoom says whether a request of so many tokens leaves room for larger ones, which
 // matters only at a keeper that gets no more tokens for now. The lock is held.
-func (t *Treasury) hasRoom(organisation string, w *wallet, tokens int64) bool {
+func (t *Allocator) hasRoom(organisation string, w *wallet, tokens int64) bool {
 	if w.wanted == 0 {
 		return true
 	}
@@ -272,14 +272,14 @@
 }
 
 // refillSoon asks for a slice once what a keeper holds runs low; the lock is held.
-func (t *Treasury) refillSoon(organisation string, w *wallet) {
+func (t *Allocator) refillSoon(organisation string, w *wallet) {
 	if w.low() {
 		t.clerkOf(organisation).kick()
 	}
 }
 
 // wait notes that a request waits for tokens.
-func (t *Treasury) wait(organisation string, tokens int64) {
+func (t *Allocator) wait(organisation string, tokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w := t.wallets[organisation]; w != nil {
@@ -287,7 +287,7 @@
 	}
 }
 
-func (t *Treasury) stopWaiting(organisation string, tokens int64) {
+func (t *Allocator) stopWaiting(organisation string, tokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w := t.wallets[organisation]; w != nil {
@@ -296,7 +296,7 @@
 }
 
 // woken gives the channel that tells of the next gain.
-func (t *Treasury) woken() <-chan struct{} {
+func (t *Allocator) woken() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
@@ -343,7 +343,7 @@
 	}
 }
 
-func (t *Treasury) wake() {
+func (t *Allocator) wake() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -361,7 +361,7 @@
 }
 
 // Holdings lists this host's parts of all budgets.
-func (t *Treasury) Holdings() []Holding {
+func (t *Allocator) Holdings() []Holding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := make([]Holding, 0, len(t.wallets))
@@ -372,7 +372,7 @@
 }
 
 // Holding is this host's part of one budget.
-func (t *Treasury) Holding(organisation string) (Holding, bool) {
+func (t *Allocator) Holding(organisation string) (Holding, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.wallets[organisation]
@@ -391,7 +391,7 @@
 }
 
 // Close gives all free tokens back, as far as ctx allows, and takes no more.
-func (t *Treasury) Close(ctx context.Context) error {
+func (t *Allocator) Close(ctx context.Context) error {
 	t.mu.Lock()
 	t.closing = true
 	t.mu.Unlock()
