--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -166,7 +166,7 @@
 		return CallerGone, err
 	}
 	q.end.Budget, _ = q.handler.opts.Budgets.Holding(q.organisation.Name)
-	if errors.Is(err, prepaid.ErrNever) {
+	if errors.Is(err, prepaid.ErrTooLarge) {
 		return OverBudget, err
 	}
 	return BudgetWait, err
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -14,8 +14,8 @@
 
 // Errors of Reserve.
 var (
-	// ErrNever means that the request is larger than the whole budget.
-	ErrNever = errors.New("prepaid: the request does not fit into the budget")
+	// ErrTooLarge means that the request is larger than the whole budget.
+	ErrTooLarge = errors.New("prepaid: the request does not fit into the budget")
 	// ErrEmpty means that the host has no tokens for the request now.
 	ErrEmpty = errors.New("prepaid: no tokens within reach")
 )
@@ -245,7 +245,7 @@
 		return &Reservation{treasury: t, organisation: organisation}, nil
 	}
 	if tokens > w.limit {
-		return nil, ErrNever
+		return nil, ErrTooLarge
 	}
 	if w.free < tokens || !w.spendable() || !t.hasRoom(organisation, w, tokens) {
 		w.turned.note(tokens, time.Now())
--- a/router/prepaid/treasury_test.go
+++ b/router/prepaid/treasury_test.go
@@ -20,7 +20,7 @@
 	_, err := tr.Reserve(context.Background(), "org", 10)
 	is.True(errors.Is(err, ErrEmpty))
 	_, err = tr.Reserve(context.Background(), "org", 1001)
-	is.True(errors.Is(err, ErrNever))
+	is.True(errors.Is(err, ErrTooLarge))
 }
 
 func TestOrganisationWithoutBudgetHasNoLimit(t *testing.T) {
