--- a/router/forward/streams_test.go
+++ b/router/forward/streams_test.go
@@ -200,7 +200,7 @@
 		status int
 		kind   Kind
 	}{
-		{"none within reach", prepaid.ErrEmpty, "10,5", 503, BudgetWait},
+		{"none within reach", prepaid.ErrExhausted, "10,5", 503, BudgetWait},
 		{"larger than the budget", prepaid.ErrTooLarge, "10,5", 402, OverBudget},
 		{"worst case not told", nil, "", 400, BadRequest},
 		{"worst case no number", nil, "10,-5", 400, BadRequest},
--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -152,7 +152,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lendWait)
 	defer cancel()
 	got, err := t.reserveOwn(ctx, ask.Organisation, ask.Tokens, lendWait)
-	if errors.Is(err, ErrEmpty) {
+	if errors.Is(err, ErrExhausted) {
 		got = t.gather(ctx, ask)
 	}
 	if got == nil {
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -189,7 +189,7 @@
 	tr.Configure(1, []Budget{{"org", 1000}}, true)
 	for range 20 {
 		_, err := tr.Reserve(context.Background(), "org", 10)
-		is.True(errors.Is(err, ErrEmpty))
+		is.True(errors.Is(err, ErrExhausted))
 	}
 	is.Equal(asked.Load(), int64(1))
 	is.Equal(calls.Load(), int64(0))
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -16,8 +16,8 @@
 var (
 	// ErrTooLarge means that the request is larger than the whole budget.
 	ErrTooLarge = errors.New("prepaid: the request does not fit into the budget")
-	// ErrEmpty means that the host has no tokens for the request now.
-	ErrEmpty = errors.New("prepaid: no tokens within reach")
+	// ErrExhausted means that the host has no tokens for the request now.
+	ErrExhausted = errors.New("prepaid: no tokens within reach")
 )
 
 // Options configure a Treasury.
@@ -184,16 +184,16 @@
 			return got, err
 		}
 		if answered {
-			return nil, ErrEmpty
+			return nil, ErrExhausted
 		}
 	}
 	got, err := t.reserveOwn(ctx, organisation, tokens, t.opts.Wait)
-	if !errors.Is(err, ErrEmpty) || !keeper {
+	if !errors.Is(err, ErrExhausted) || !keeper {
 		return got, err
 	}
 	got, _, err = t.borrow(q)
 	if got == nil && err == nil {
-		err = ErrEmpty
+		err = ErrExhausted
 	}
 	return got, err
 }
@@ -213,12 +213,12 @@
 		clerk := t.clerkOf(organisation)
 		clerk.kick()
 		if clerk.away() || t.exhausted(organisation, tokens) {
-			return nil, ErrEmpty
+			return nil, ErrExhausted
 		}
 		select {
 		case <-wake:
 		case <-ctx.Done():
-			return nil, ErrEmpty
+			return nil, ErrExhausted
 		}
 	}
 }
--- a/router/prepaid/treasury_test.go
+++ b/router/prepaid/treasury_test.go
@@ -18,7 +18,7 @@
 	tr.Configure(1, []Budget{{"org", 1000}}, true)
 	is.Equal(spend(tr, "org", 10, 200), int64(1000))
 	_, err := tr.Reserve(context.Background(), "org", 10)
-	is.True(errors.Is(err, ErrEmpty))
+	is.True(errors.Is(err, ErrExhausted))
 	_, err = tr.Reserve(context.Background(), "org", 1001)
 	is.True(errors.Is(err, ErrTooLarge))
 }
@@ -91,7 +91,7 @@
 	h.log.SetFault("", memlog.Fault{Silent: true})
 	tr.Configure(2, []Budget{{"org", 900}}, false)
 	_, err := tr.Reserve(context.Background(), "org", 10)
-	is.True(errors.Is(err, ErrEmpty))
+	is.True(errors.Is(err, ErrExhausted))
 	h.log.SetFault("", memlog.Fault{})
 	until.True(t, "it goes on", func() bool { return spend(tr, "org", 10, 1) == 10 })
 }
