--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -88,7 +88,7 @@
 	loan := t.opts.Borrow(ctx, organisation, missing, q.cost())
 	t.takeLoan(organisation, missing, loan)
 	if loan.Kept {
-		return nil, true, ErrKept
+		return nil, true, ErrShed
 	}
 	got, err = t.try(organisation, tokens)
 	return got, loan.Answered, err
--- a/router/prepaid/shed.go
+++ b/router/prepaid/shed.go
@@ -20,8 +20,8 @@
 // end of any budget or in an outage, cost 0.04 to 0.17 of the worth of days on which the tokens
 // sufficed.
 
-// ErrKept means that the last tokens within reach are kept for requests that cost less.
-var ErrKept = errors.New("prepaid: the last tokens are kept for smaller requests")
+// ErrShed means that the last tokens within reach are kept for requests that cost less.
+var ErrShed = errors.New("prepaid: the last tokens are kept for smaller requests")
 
 const (
 	// toppedUpIn is how soon, in seconds after the loss, budgets may be expected to be topped
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -172,7 +172,7 @@
 func (t *Allocator) ReserveFor(ctx context.Context, q Request) (*Reservation, error) {
 	organisation, tokens := q.Organisation, q.Tokens
 	if t.shed(organisation, q.cost(), tokens) {
-		return nil, ErrKept
+		return nil, ErrShed
 	}
 	if got, err := t.try(organisation, tokens); got != nil || err != nil {
 		return got, err
