--- a/router/fleet/borrow.go
+++ b/router/fleet/borrow.go
@@ -52,7 +52,7 @@
 	b := borrowing{fleet: f, timeout: timeout, organisation: organisation, free: map[string]int64{}}
 	addresses = addresses[:min(len(addresses), borrowFrom)]
 	for _, address := range addresses {
-		if b.total.Tokens >= tokens || b.total.Kept || ctx.Err() != nil {
+		if b.total.Tokens >= tokens || b.total.Shed || ctx.Err() != nil {
 			break
 		}
 		ask := lendRequest{Tokens: tokens - b.total.Tokens, FreeOnly: b.total.Answered}
@@ -61,7 +61,7 @@
 		}
 		b.ask(ctx, address, ask)
 	}
-	if !b.total.Kept && b.canGather(tokens) {
+	if !b.total.Shed && b.canGather(tokens) {
 		b.gather(ctx, addresses, tokens)
 	}
 	b.log(tokens)
@@ -79,7 +79,7 @@
 }
 
 func (b *borrowing) log(wanted int64) {
-	log.WithFields(log.Fields{"organisation": b.organisation, "wanted": wanted, "got": b.total.Tokens, "answered": b.total.Answered, "kept": b.total.Kept}).Debug("borrowed from other hosts")
+	log.WithFields(log.Fields{"organisation": b.organisation, "wanted": wanted, "got": b.total.Tokens, "answered": b.total.Answered, "kept": b.total.Shed}).Debug("borrowed from other hosts")
 }
 
 // ask asks one host.
@@ -97,7 +97,7 @@
 	case err == nil:
 		b.total.Tokens += got.Tokens
 		b.total.Answered = b.total.Answered || got.Keeper
-		b.total.Kept = b.total.Kept || got.Kept
+		b.total.Shed = b.total.Shed || got.Kept
 		// A host that had enough and lent nothing keeps room for larger requests: pieces
 		// gathered from it would let small ones take that room.
 		if got.Free < ask.Tokens {
--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -30,9 +30,9 @@
 	Answered bool
 	// Free is what the lender could still lend, where it lent too little.
 	Free int64
-	// Kept means that a keeper keeps the last tokens for smaller requests; nobody else needs
+	// Shed means that a keeper keeps the last tokens for smaller requests; nobody else needs
 	// to be asked.
-	Kept bool
+	Shed bool
 }
 
 // Figures of loans.
@@ -87,7 +87,7 @@
 	defer cancel()
 	loan := t.opts.Borrow(ctx, organisation, missing, q.cost())
 	t.takeLoan(organisation, missing, loan)
-	if loan.Kept {
+	if loan.Shed {
 		return nil, true, ErrShed
 	}
 	got, err = t.try(organisation, tokens)
@@ -144,7 +144,7 @@
 		return Loan{}
 	}
 	if keeper && t.shed(ask.Organisation, ask.Cost, ask.Tokens) {
-		return Loan{Answered: true, Kept: true}
+		return Loan{Answered: true, Shed: true}
 	}
 	if lent := t.lendFree(ask, keeper); lent >= ask.Tokens || !keeper || ask.FreeOnly {
 		return Loan{Tokens: lent, Answered: keeper}
