--- a/router/fleet/borrow.go
+++ b/router/fleet/borrow.go
@@ -55,7 +55,7 @@
 		if b.total.Tokens >= tokens || b.total.Shed || ctx.Err() != nil {
 			break
 		}
-		ask := lendRequest{Tokens: tokens - b.total.Tokens, FreeOnly: b.total.Answered}
+		ask := lendRequest{Tokens: tokens - b.total.Tokens, FreeOnly: b.total.Authoritative}
 		if !ask.FreeOnly {
 			ask.Cost = cost // one keeper decides whether the request gives way
 		}
@@ -79,7 +79,7 @@
 }
 
 func (b *borrowing) log(wanted int64) {
-	log.WithFields(log.Fields{"organisation": b.organisation, "wanted": wanted, "got": b.total.Tokens, "answered": b.total.Answered, "kept": b.total.Shed}).Debug("borrowed from other hosts")
+	log.WithFields(log.Fields{"organisation": b.organisation, "wanted": wanted, "got": b.total.Tokens, "answered": b.total.Authoritative, "kept": b.total.Shed}).Debug("borrowed from other hosts")
 }
 
 // ask asks one host.
@@ -96,7 +96,7 @@
 	switch {
 	case err == nil:
 		b.total.Tokens += got.Tokens
-		b.total.Answered = b.total.Answered || got.Keeper
+		b.total.Authoritative = b.total.Authoritative || got.Keeper
 		b.total.Shed = b.total.Shed || got.Kept
 		// A host that had enough and lent nothing keeps room for larger requests: pieces
 		// gathered from it would let small ones take that room.
--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -217,7 +217,7 @@
 		return
 	}
 	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, Partly: ask.Partly})
-	write(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Answered, Free: loan.Free, Kept: loan.Shed})
+	write(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Authoritative, Free: loan.Free, Kept: loan.Shed})
 }
 
 func (f *Fleet) serveRecall(w http.ResponseWriter, r *http.Request) {
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -208,7 +208,7 @@
 	f := New(Options{
 		Lend: func(_ context.Context, ask prepaid.LoanRequest) prepaid.Loan {
 			p.asked.Add(1)
-			return prepaid.Loan{Tokens: min(ask.Tokens, lends), Answered: keeper}
+			return prepaid.Loan{Tokens: min(ask.Tokens, lends), Authoritative: keeper}
 		},
 		Credit: func(gift prepaid.Gift) bool {
 			if takes {
@@ -232,7 +232,7 @@
 		f.seeds = append(f.seeds, p.address())
 	}
 	loan := f.Borrow(context.Background(), "org", 50, 0)
-	is.Equal(loan, prepaid.Loan{Tokens: 50, Answered: true})
+	is.Equal(loan, prepaid.Loan{Tokens: 50, Authoritative: true})
 	asked := int64(0)
 	for _, p := range peers {
 		asked += p.asked.Load()
@@ -259,7 +259,7 @@
 		Lend: func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan {
 			lent.Store(ask.ID)
 			<-ctx.Done() // the borrower gave up
-			return prepaid.Loan{Tokens: ask.Tokens, Answered: true}
+			return prepaid.Loan{Tokens: ask.Tokens, Authoritative: true}
 		},
 		Recall: func(id string) int64 {
 			recalled <- id
--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -25,9 +25,9 @@
 // Loan is what other hosts lent.
 type Loan struct {
 	Tokens int64
-	// Answered means that a keeper answered for the whole budget: if it lent too little,
+	// Authoritative means that a keeper answered for the whole budget: if it lent too little,
 	// the log has no more either, and only what hosts hold is left.
-	Answered bool
+	Authoritative bool
 	// Free is what the lender could still lend, where it lent too little.
 	Free int64
 	// Shed means that a keeper keeps the last tokens for smaller requests; nobody else needs
@@ -91,7 +91,7 @@
 		return nil, true, ErrShed
 	}
 	got, err = t.try(organisation, tokens)
-	return got, loan.Answered, err
+	return got, loan.Authoritative, err
 }
 
 // missing is what the wallet lacks for a request. Nothing is borrowed beyond it: what a host
@@ -122,7 +122,7 @@
 	if w == nil {
 		return
 	}
-	if loan.Tokens < wanted && loan.Answered {
+	if loan.Tokens < wanted && loan.Authoritative {
 		w.refused, w.refusedFor = time.Now(), wanted-loan.Tokens
 	}
 }
@@ -144,10 +144,10 @@
 		return Loan{}
 	}
 	if keeper && t.shed(ask.Organisation, ask.Cost, ask.Tokens) {
-		return Loan{Answered: true, Shed: true}
+		return Loan{Authoritative: true, Shed: true}
 	}
 	if lent := t.lendFree(ask, keeper); lent >= ask.Tokens || !keeper || ask.FreeOnly {
-		return Loan{Tokens: lent, Answered: keeper}
+		return Loan{Tokens: lent, Authoritative: keeper}
 	}
 	ctx, cancel := context.WithTimeout(ctx, lendWait)
 	defer cancel()
@@ -158,9 +158,9 @@
 	if got == nil {
 		// Only a budget that has no more is a no for all: where this host can't reach the
 		// log, another one may.
-		return Loan{Answered: t.exhausted(ask.Organisation, ask.Tokens)}
+		return Loan{Authoritative: t.exhausted(ask.Organisation, ask.Tokens)}
 	}
-	return Loan{Tokens: t.lendReserved(ask.ID, got), Answered: true}
+	return Loan{Tokens: t.lendReserved(ask.ID, got), Authoritative: true}
 }
 
 // gather gets what a loan lacks from other keepers, for a keeper that ran dry: the host that
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -182,7 +182,7 @@
 		Keepers: func(string) (int, bool) { return 1, false },
 		Borrow: func(context.Context, string, int64, float64) Loan {
 			asked.Add(1)
-			return Loan{Answered: true}
+			return Loan{Authoritative: true}
 		},
 		OnCall: func(string) { calls.Add(1) },
 	})
@@ -248,7 +248,7 @@
 		Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true },
 		Borrow: func(_ context.Context, _ string, tokens int64, _ float64) Loan {
 			asked = append(asked, tokens)
-			return Loan{Tokens: tokens, Answered: true}
+			return Loan{Tokens: tokens, Authoritative: true}
 		},
 	})
 	tr.Configure(1, []Budget{{"org", 1_000_000}}, true)
