--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -216,7 +216,7 @@
 	if !read(w, r, &ask) {
 		return
 	}
-	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, Partly: ask.Partly})
+	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, AllowPartial: ask.Partly})
 	write(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Authoritative, Free: loan.Free, Kept: loan.Shed})
 }
 
--- a/router/prepaid/fuzz_test.go
+++ b/router/prepaid/fuzz_test.go
@@ -215,7 +215,7 @@
 	id := fmt.Sprint(m.loans)
 	lender := m.hosts[from]
 	partly := rapid.Bool().Draw(t, "partly")
-	lent := lender.lendFree(LoanRequest{ID: id, Organisation: "org", Tokens: wanted, Partly: partly}, keeper)
+	lent := lender.lendFree(LoanRequest{ID: id, Organisation: "org", Tokens: wanted, AllowPartial: partly}, keeper)
 	if r, _ := lender.try("org", wanted); keeper && lent == 0 && r != nil {
 		lent = lender.lendReserved(id, r) // as a keeper does that waited
 	} else {
--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -18,8 +18,8 @@
 	// FreeOnly asks for what the host has; else it takes a slice for the loan if need be,
 	// and is a keeper of the budget from then on.
 	FreeOnly bool
-	// Partly takes less than what is needed too: others lend the rest.
-	Partly bool
+	// AllowPartial takes less than what is needed too: others lend the rest.
+	AllowPartial bool
 }
 
 // Loan is what other hosts lent.
@@ -222,7 +222,7 @@
 	}
 	spare := w.spare()
 	lent := min(ask.Tokens, spare)
-	if keeper && !ask.Partly && (lent < ask.Tokens || !t.hasRoom(ask.Organisation, w, ask.Tokens)) {
+	if keeper && !ask.AllowPartial && (lent < ask.Tokens || !t.hasRoom(ask.Organisation, w, ask.Tokens)) {
 		w.turned.note(ask.Tokens, time.Now())
 		return 0
 	}
