--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -239,7 +239,7 @@
 	}
 	self := f.opts.Self.Incarnation
 	// An earlier incarnation may have taken and spent the same gift.
-	took := ask.Incarnation == self && f.opts.Credit(prepaid.Gift{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens})
+	took := ask.Incarnation == self && f.opts.Credit(prepaid.Transfer{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens})
 	log.WithFields(log.Fields{"gift": ask.ID, "organisation": ask.Organisation, "tokens": ask.Tokens, "took": took}).Info("tokens given by another host")
 	write(w, giveResponse{Took: took, Incarnation: self})
 }
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -46,7 +46,7 @@
 	// Recall takes back a loan whose borrower got no answer.
 	Recall func(id string) (tokens int64)
 	// Credit takes in tokens that another host gives, once for each gift.
-	Credit func(gift prepaid.Gift) bool
+	Credit func(gift prepaid.Transfer) bool
 	// History is what this host saw of the limits of budgets.
 	History func() prepaid.History
 	// Quarantine takes part in finding requests that crash targets. nil: this host does not.
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -210,7 +210,7 @@
 			p.asked.Add(1)
 			return prepaid.Loan{Tokens: min(ask.Tokens, lends), Authoritative: keeper}
 		},
-		Credit: func(gift prepaid.Gift) bool {
+		Credit: func(gift prepaid.Transfer) bool {
 			if takes {
 				p.given.Add(gift.Tokens)
 			}
@@ -293,7 +293,7 @@
 	taken := map[string]int64{}
 	taker := New(Options{
 		Self: Host{Incarnation: "7"},
-		Credit: func(gift prepaid.Gift) bool {
+		Credit: func(gift prepaid.Transfer) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			taken[gift.ID] = gift.Tokens
@@ -326,7 +326,7 @@
 	taker := func(incarnation string) http.Handler {
 		return New(Options{
 			Self:   Host{Incarnation: incarnation},
-			Credit: func(gift prepaid.Gift) bool { taken.Add(gift.Tokens); return true },
+			Credit: func(gift prepaid.Transfer) bool { taken.Add(gift.Tokens); return true },
 		}).Handler()
 	}
 	before, after := taker("1"), taker("2")
--- a/router/fleet/gifts_test.go
+++ b/router/fleet/gifts_test.go
@@ -21,7 +21,7 @@
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Gift) bool { return true }})
+	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { return true }})
 	go func() {
 		time.Sleep(2 * giveTimeout)
 		l, err := net.Listen("tcp", address)
@@ -40,7 +40,7 @@
 func TestGiftThatIsRefusedIsNotOfferedAgain(t *testing.T) {
 	is := is.New(t)
 	asked := 0
-	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Gift) bool { asked++; return false }})
+	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { asked++; return false }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = http.Serve(l, taker.Handler()) }()
--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -19,7 +19,7 @@
 	b.t.Helper()
 	b.configure(testConfig[:len(testConfig)-len(`"priority":1}]}`)] + `"priority":1,"prepaid":1000000}]}`)
 	b.budgets.treasury.Configure(7, []prepaid.Budget{{Organisation: "org", Limit: 1000000}}, false)
-	b.is.True(b.budgets.treasury.Credit(prepaid.Gift{ID: "all", Organisation: "org", Tokens: fundedTokens}))
+	b.is.True(b.budgets.treasury.Credit(prepaid.Transfer{ID: "all", Organisation: "org", Tokens: fundedTokens}))
 }
 
 // The engine of these tests makes its first event after firstEvent and then one each
--- a/router/prepaid/gifts.go
+++ b/router/prepaid/gifts.go
@@ -84,8 +84,8 @@
 	all.Wait()
 }
 
-// Gift is tokens that one host gives to another.
-type Gift struct {
+// Transfer is tokens that one host gives to another.
+type Transfer struct {
 	ID           string // unique among all gifts; a giver without an answer repeats it
 	Organisation string
 	Tokens       int64
@@ -93,7 +93,7 @@
 
 // Credit takes in a gift, however often it comes, once; it says whether the gift was
 // taken. A host that is stopping or does not know the budget takes none.
-func (t *Allocator) Credit(g Gift) (took bool) {
+func (t *Allocator) Credit(g Transfer) (took bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if answer, known := t.gifts.answer(g.ID); known {
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -17,7 +17,7 @@
 func TestGiftCountsOnce(t *testing.T) {
 	is := is.New(t)
 	tr := New(Options{Partitions: 1, Hosts: func() int { return 1 }})
-	gift := Gift{ID: "a/1", Organisation: "o", Tokens: 50}
+	gift := Transfer{ID: "a/1", Organisation: "o", Tokens: 50}
 	is.True(!tr.Credit(gift)) // the budget is not known
 	tr.Configure(1, []Budget{{Organisation: "o", Limit: 100}}, false)
 	is.True(!tr.Credit(gift))
@@ -39,7 +39,7 @@
 	}
 	tr.Configure(1, budgets, false)
 	for _, b := range budgets {
-		is.True(tr.Credit(Gift{ID: b.Organisation, Organisation: b.Organisation, Tokens: 50}))
+		is.True(tr.Credit(Transfer{ID: b.Organisation, Organisation: b.Organisation, Tokens: 50}))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -73,7 +73,7 @@
 		},
 	})
 	tr.Configure(1, []Budget{{"kept", 1000}, {"idle", 1000}}, true)
-	is.True(tr.Credit(Gift{ID: "a/1", Organisation: "idle", Tokens: 50}))
+	is.True(tr.Credit(Transfer{ID: "a/1", Organisation: "idle", Tokens: 50}))
 	<-asked
 	until.True(t, "a request for another budget of the same partition gets a slice", func() bool {
 		got, err := tr.Reserve(context.Background(), "kept", 10)
@@ -129,7 +129,7 @@
 	h.log.SetFault("", memlog.Fault{Silent: true})
 	up.Store(false)
 	all := free() + 50000
-	is.True(tr.Credit(Gift{ID: "a/1", Organisation: "org", Tokens: 50000}))
+	is.True(tr.Credit(Transfer{ID: "a/1", Organisation: "org", Tokens: 50000}))
 	time.Sleep(300 * time.Millisecond)
 	is.Equal(free(), all)
 	h.log.SetFault("", memlog.Fault{})
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -110,7 +110,7 @@
 			return keeper.Lend(ctx, LoanRequest{Organisation: organisation, Tokens: n})
 		},
 		GiveBack: func(_ context.Context, organisation string, n int64) bool {
-			return keeper.Credit(Gift{ID: fmt.Sprint(gifts.Add(1)), Organisation: organisation, Tokens: n})
+			return keeper.Credit(Transfer{ID: fmt.Sprint(gifts.Add(1)), Organisation: organisation, Tokens: n})
 		},
 		OnCall: func(string) { calls.Add(1) },
 	})
