--- a/router/prepaid/gifts.go
+++ b/router/prepaid/gifts.go
@@ -59,9 +59,9 @@
 	return idle
 }
 
-// HandOver gives all free tokens to other hosts and takes no more; give says
+// TransferAll gives all free tokens to other hosts and takes no more; give says
 // whether one took them. Without an answer in time they count as spent.
-func (t *Allocator) HandOver(ctx context.Context, give func(ctx context.Context, organisation string, tokens int64) bool) {
+func (t *Allocator) TransferAll(ctx context.Context, give func(ctx context.Context, organisation string, tokens int64) bool) {
 	t.mu.Lock()
 	t.closing = true
 	free := map[string]int64{}
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	var given atomic.Int64
-	tr.HandOver(ctx, func(ctx context.Context, organisation string, tokens int64) bool {
+	tr.TransferAll(ctx, func(ctx context.Context, organisation string, tokens int64) bool {
 		if organisation == "o0" {
 			<-ctx.Done()
 		}
