--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -48,7 +48,7 @@
 	// Credit takes in tokens that another host gives, once for each gift.
 	Credit func(gift prepaid.Transfer) bool
 	// History is what this host saw of the limits of budgets.
-	History func() prepaid.History
+	History func() prepaid.LimitHistory
 	// Quarantine takes part in finding requests that crash targets. nil: this host does not.
 	Quarantine Quarantine
 	// Rollouts conducts rollouts for other hosts. nil: this host does not.
--- a/router/fleet/history.go
+++ b/router/fleet/history.go
@@ -20,7 +20,7 @@
 
 // History asks one other host, drawn anew each time, what it saw of the limits of budgets
 // since a version.
-func (f *Fleet) History(ctx context.Context, since int64) (h prepaid.History, ok bool) {
+func (f *Fleet) History(ctx context.Context, since int64) (h prepaid.LimitHistory, ok bool) {
 	addresses := f.addresses()
 	f.mu.Lock()
 	addresses = f.silentLast(addresses)
@@ -31,7 +31,7 @@
 	var got historyResponse
 	err := f.calls.do(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &got)
 	f.noteSilent(addresses[0], err)
-	return prepaid.History{Since: got.Since, UpTo: got.UpTo, Lowered: got.Lowered}, err == nil
+	return prepaid.LimitHistory{Since: got.Since, UpTo: got.UpTo, Lowered: got.Lowered}, err == nil
 }
 
 func (f *Fleet) serveHistory(w http.ResponseWriter, r *http.Request) {
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -230,7 +230,7 @@
 		Lend:       func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan { return n.treasury.Lend(ctx, ask) },
 		Recall:     func(id string) int64 { return n.treasury.Recall(id) },
 		Credit:     func(gift prepaid.Transfer) bool { return n.treasury.Credit(gift) },
-		History:    func() prepaid.History { return n.treasury.History() },
+		History:    func() prepaid.LimitHistory { return n.treasury.History() },
 		Quarantine: n.guard,
 		Rollouts:   n.rollouts,
 		OnPull:     func(outcome string) { n.observer.Count(fmt.Sprintf("pulls_total{outcome=%q}", outcome)) },
--- a/router/prepaid/history.go
+++ b/router/prepaid/history.go
@@ -20,8 +20,8 @@
 // others refused likewise: 0.01 to 0.02 of a day's worth on days on which the log turns a
 // third of the hosts away.
 
-// History is what a host knows of the limits of budgets over some versions.
-type History struct {
+// LimitHistory is what a host knows of the limits of budgets over some versions.
+type LimitHistory struct {
 	Since, UpTo int64 // it saw each version between them
 	// Lowered is the newest version that lowered the limit of an organisation; those whose
 	// limit was never lowered are left out.
@@ -54,10 +54,10 @@
 }
 
 // History is what this host can tell others: what it saw since its last gap.
-func (t *Allocator) History() History {
+func (t *Allocator) History() LimitHistory {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := History{Since: max(t.history.Since, t.gap.until), UpTo: t.history.UpTo, Lowered: map[string]int64{}}
+	h := LimitHistory{Since: max(t.history.Since, t.gap.until), UpTo: t.history.UpTo, Lowered: map[string]int64{}}
 	for organisation, version := range t.history.Lowered {
 		h.Lowered[organisation] = version
 	}
@@ -80,7 +80,7 @@
 }
 
 // learn takes in what another host saw, and says whether that fills this host's gap.
-func (t *Allocator) learn(h History) (filled bool) {
+func (t *Allocator) learn(h LimitHistory) (filled bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.gap.until == 0 || h.Since > t.gap.after || h.UpTo < t.gap.until {
--- a/router/prepaid/history_test.go
+++ b/router/prepaid/history_test.go
@@ -101,14 +101,14 @@
 	is := is.New(t)
 	var asked atomic.Int64
 	tr, _ := holder(1000)
-	tr.opts.Histories = func(context.Context, int64) (History, bool) {
+	tr.opts.Histories = func(context.Context, int64) (LimitHistory, bool) {
 		switch asked.Add(1) {
 		case 1:
-			return History{}, false // silent
+			return LimitHistory{}, false // silent
 		case 2:
-			return History{Since: 4, UpTo: 5}, true
+			return LimitHistory{Since: 4, UpTo: 5}, true
 		}
-		return History{Since: 1, UpTo: 5}, true
+		return LimitHistory{Since: 1, UpTo: 5}, true
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -48,7 +48,7 @@
 	OnGive func(h Holding)
 	// Histories asks another host, a different one each time, what it saw of the limits
 	// since a version; nil: none is asked.
-	Histories func(ctx context.Context, since int64) (h History, ok bool)
+	Histories func(ctx context.Context, since int64) (h LimitHistory, ok bool)
 	// AllLost says whether all hosts were lost, so that what is left of the budgets has to
 	// last until they are topped up; nil: it always has to.
 	AllLost func() bool
@@ -71,7 +71,7 @@
 	nextOp  int64
 	closing bool
 
-	history History
+	history LimitHistory
 	gap     gap
 	gapped  chan struct{} // full: versions were missed
 }
@@ -82,7 +82,7 @@
 		opts.Again = defaultAgain
 	}
 	t := &Allocator{opts: opts, wallets: map[string]*wallet{}, changed: make(chan struct{}), loans: newLoanBook(), gifts: newGiftBook(),
-		history: History{Lowered: map[string]int64{}}, gapped: make(chan struct{}, 1)}
+		history: LimitHistory{Lowered: map[string]int64{}}, gapped: make(chan struct{}, 1)}
 	for i := range max(opts.Partitions, 1) {
 		t.clerks = append(t.clerks, newClerk(t, i))
 	}
