--- a/router/prepaid/flows.go
+++ b/router/prepaid/flows.go
@@ -18,7 +18,7 @@
 	Used     int64 // by requests
 }
 
-// Held is what the flows leave: free and reserved tokens.
-func (f Flows) Held() int64 {
+// Balance is what the flows leave: free and reserved tokens.
+func (f Flows) Balance() int64 {
 	return f.Taken + f.Borrowed + f.Recalled + f.Received - f.Returned - f.Lent - f.Given - f.Used
 }
