--- a/router/node/accounts.go
+++ b/router/node/accounts.go
@@ -63,7 +63,7 @@
 	defer a.mu.Unlock()
 	lines := 0
 	for _, h := range list {
-		if h.Flows == (prepaid.Flows{}) || h == a.told[h.Organisation] || lines == mostAccounts {
+		if h.Totals == (prepaid.Flows{}) || h == a.told[h.Organisation] || lines == mostAccounts {
 			continue
 		}
 		lines++
@@ -71,8 +71,8 @@
 		log.WithFields(log.Fields{
 			"incarnation": a.incarnation, "organisation": h.Organisation, "keeper": h.Keeper,
 			"free": h.Free, "reserved": h.Reserved, "granted": h.Granted, "limit": h.Limit, "offset": h.Offset,
-			"taken": h.Flows.Taken, "returned": h.Flows.Returned, "borrowed": h.Flows.Borrowed, "lent": h.Flows.Lent,
-			"recalled": h.Flows.Recalled, "given": h.Flows.Given, "received": h.Flows.Received, "used": h.Flows.Used,
+			"taken": h.Totals.Taken, "returned": h.Totals.Returned, "borrowed": h.Totals.Borrowed, "lent": h.Totals.Lent,
+			"recalled": h.Totals.Recalled, "given": h.Totals.Given, "received": h.Totals.Received, "used": h.Totals.Used,
 		}).Info("budget held")
 	}
 }
--- a/router/prepaid/fuzz_test.go
+++ b/router/prepaid/fuzz_test.go
@@ -68,8 +68,8 @@
 // checkFlows: each host's flows balance to the token.
 func (m *model) checkFlows(t *rapid.T) {
 	for i, tr := range m.hosts {
-		if h, _ := tr.Holding("org"); h.Flows.Balance() != h.Free+h.Reserved {
-			t.Fatalf("host %d: flows %+v leave %d, free %d, reserved %d", i, h.Flows, h.Flows.Balance(), h.Free, h.Reserved)
+		if h, _ := tr.Holding("org"); h.Totals.Balance() != h.Free+h.Reserved {
+			t.Fatalf("host %d: flows %+v leave %d, free %d, reserved %d", i, h.Totals, h.Totals.Balance(), h.Free, h.Reserved)
 		}
 	}
 }
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -104,7 +104,7 @@
 	is.Equal(<-given, int64(16))
 	h := <-told
 	is.Equal(h.Free, int64(0))
-	is.Equal(h.Flows.Given, int64(16))
+	is.Equal(h.Totals.Given, int64(16))
 }
 
 // A host that got tokens of a stopping one while the log is away keeps all of them: it gave what it
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -357,7 +357,7 @@
 	Limit        int64
 	Offset       int64 // of the account's record as last seen
 	Keeper       bool  // it holds tokens for others too
-	Flows        Flows
+	Totals       Flows
 }
 
 // Holdings lists this host's parts of all budgets.
@@ -386,7 +386,7 @@
 func (w *wallet) holding(organisation string) Holding {
 	return Holding{
 		Organisation: organisation, Free: w.free, Reserved: w.reserved,
-		Granted: w.account.Granted, Limit: w.limit, Offset: w.offset, Keeper: w.wanted > 0, Flows: w.flows,
+		Granted: w.account.Granted, Limit: w.limit, Offset: w.offset, Keeper: w.wanted > 0, Totals: w.flows,
 	}
 }
 
