--- a/router/node/accounts.go
+++ b/router/node/accounts.go
@@ -63,7 +63,7 @@
 	defer a.mu.Unlock()
 	lines := 0
 	for _, h := range list {
-		if h.Totals == (prepaid.Flows{}) || h == a.told[h.Organisation] || lines == mostAccounts {
+		if h.Totals == (prepaid.Totals{}) || h == a.told[h.Organisation] || lines == mostAccounts {
 			continue
 		}
 		lines++
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -357,7 +357,7 @@
 	Limit        int64
 	Offset       int64 // of the account's record as last seen
 	Keeper       bool  // it holds tokens for others too
-	Totals       Flows
+	Totals       Totals
 }
 
 // Holdings lists this host's parts of all budgets.
--- a/router/prepaid/wallet.go
+++ b/router/prepaid/wallet.go
@@ -64,7 +64,7 @@
 	unseen     int64 // one more than verify was before the versions that were missed, which may have lowered the limit; 0: none
 	free       int64
 	reserved   int64
-	flows      Flows
+	flows      Totals
 	waiting    []int64   // what requests wait for, one entry each
 	hungry     bool      // a request was turned away for want of tokens
 	refused    time.Time // when other hosts last had too little to lend
