--- a/router/node/reload.go
+++ b/router/node/reload.go
@@ -56,9 +56,9 @@
 	}
 }
 
-func plan(s *settings.Settings) prepaid.Plan {
+func plan(s *settings.Settings) prepaid.Sizing {
 	b := s.Budgets
-	return prepaid.Plan{
+	return prepaid.Sizing{
 		Horizon: b.HorizonS, FullSpan: b.FullSpanS, MostPart: b.MostPart, LeastPart: b.LeastPart, EvenPart: b.EvenPart, MostShares: b.MostShares,
 		KeeperHorizon: b.KeeperHorizonS, KeeperPart: b.KeeperPart,
 	}
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -26,7 +26,7 @@
 	Topic      string
 	Partitions int
 	Host       string // name and incarnation, unique for each start
-	Plan       Plan
+	Plan       Sizing
 	Timeout    time.Duration // of a call to the log
 	Interval   time.Duration // between looks at the accounts of a partition
 	Wait       time.Duration // a request waits so long for tokens
@@ -102,7 +102,7 @@
 }
 
 // SetPlan changes how slices are sized.
-func (t *Allocator) SetPlan(p Plan) {
+func (t *Allocator) SetPlan(p Sizing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.opts.Plan = p
--- a/router/prepaid/wallet.go
+++ b/router/prepaid/wallet.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Plan holds the figures by which a host sizes its slice of a budget. What hosts
+// Sizing holds the figures by which a host sizes its slice of a budget. What hosts
 // hold is lost if they die, and is all they have while the log is out of reach.
 // The nearer a budget is to its end, the more the first counts: what is not spent
 // during an outage is then spent after it.
-type Plan struct {
+type Sizing struct {
 	// Horizon is how long a slice lasts at the present demand, in seconds.
 	Horizon float64
 	// FullSpan is the time, in seconds, that a budget has to last at the present
@@ -31,11 +31,11 @@
 }
 
 // DefaultPlan is what the measurements in docs/MEASUREMENTS.md chose.
-var DefaultPlan = Plan{Horizon: 11, FullSpan: 25, MostPart: 0.35, LeastPart: 0.02, EvenPart: 0.6, MostShares: 1, KeeperHorizon: 18, KeeperPart: 0.4}
+var DefaultPlan = Sizing{Horizon: 11, FullSpan: 25, MostPart: 0.35, LeastPart: 0.02, EvenPart: 0.6, MostShares: 1, KeeperHorizon: 18, KeeperPart: 0.4}
 
 // part is the part of the unspent tokens that all hosts together may hold. It falls
 // with the third power of the time that the budget still lasts.
-func (p Plan) part(unspent, flow float64) float64 {
+func (p Sizing) part(unspent, flow float64) float64 {
 	if flow <= 0 {
 		return p.MostPart
 	}
@@ -179,7 +179,7 @@
 // change works out what to ask of the account; zero: nothing. hosts is how many
 // hosts take slices of the budget. sparse says that they are few of many: then
 // demand alone decides, since it lies with few hosts.
-func (w *wallet) change(p Plan, hosts int, sparse bool, now time.Time) Change {
+func (w *wallet) change(p Sizing, hosts int, sparse bool, now time.Time) Change {
 	w.decay(now)
 	a := w.current()
 	if a.Left() < 0 {
@@ -203,7 +203,7 @@
 
 // changeOfKeeper is the change where few of many hosts hold the budget's tokens: by their
 // demand alone, since it lies with few of them.
-func (w *wallet) changeOfKeeper(p Plan, unspent, flow float64, now time.Time) Change {
+func (w *wallet) changeOfKeeper(p Sizing, unspent, flow float64, now time.Time) Change {
 	hold := p.KeeperPart * unspent
 	horizon := p.KeeperHorizon
 	if flow > 0 {
