--- a/router/prepaid/account_test.go
+++ b/router/prepaid/account_test.go
@@ -42,11 +42,11 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	w := &wallet{limit: 1000000, version: 1, known: true, account: Account{Granted: 1000}, free: 1000}
-	is.Equal(w.change(DefaultPlan, 12, true, now), Change{Return: 1000})
+	is.Equal(w.change(DefaultSizing, 12, true, now), Change{Return: 1000})
 	w.note(10000, now)
-	c := w.change(DefaultPlan, 12, true, now)
+	c := w.change(DefaultSizing, 12, true, now)
 	is.True(c.Take > 20000) // seconds of its own demand, though an even share is less
-	is.True(c.Take <= int64(DefaultPlan.MostPart*1000000))
+	is.True(c.Take <= int64(DefaultSizing.MostPart*1000000))
 }
 
 // Near a budget's end a hundredth of what is unspent is given back, since all hosts
@@ -57,7 +57,7 @@
 	w := &wallet{limit: 1000000, version: 1, known: true, account: Account{Granted: 910000}, free: 1000}
 	w.flow.add(0, now.Add(-10*time.Second))
 	w.flow.add(910000, now) // it lasts for a second
-	is.Equal(w.change(DefaultPlan, 6, false, now).Return, int64(818))
+	is.Equal(w.change(DefaultSizing, 6, false, now).Return, int64(818))
 }
 
 func TestNewerLimitCounts(t *testing.T) {
@@ -87,7 +87,7 @@
 		}
 		w.free = min(w.free, w.account.Granted)
 		hosts := rapid.IntRange(1, 50).Draw(t, "hosts")
-		c := w.change(DefaultPlan, hosts, false, now)
+		c := w.change(DefaultSizing, hosts, false, now)
 		if c.Return > w.free {
 			t.Fatalf("gives back %d of %d", c.Return, w.free)
 		}
@@ -99,7 +99,7 @@
 			t.Fatalf("granted %d of %d", next.Granted, w.limit)
 		}
 		unspent := float64(max(w.current().Left(), 0) + w.free)
-		most := DefaultPlan.MostPart * DefaultPlan.MostShares * unspent / float64(hosts)
+		most := DefaultSizing.MostPart * DefaultSizing.MostShares * unspent / float64(hosts)
 		if len(w.waiting) == 0 && taken > 0 && float64(w.free+taken) > most+1 {
 			t.Fatalf("holds %d, at most %.0f", w.free+taken, most)
 		}
--- a/router/prepaid/wallet.go
+++ b/router/prepaid/wallet.go
@@ -30,8 +30,8 @@
 	KeeperHorizon, KeeperPart float64
 }
 
-// DefaultPlan is what the measurements in docs/MEASUREMENTS.md chose.
-var DefaultPlan = Sizing{Horizon: 11, FullSpan: 25, MostPart: 0.35, LeastPart: 0.02, EvenPart: 0.6, MostShares: 1, KeeperHorizon: 18, KeeperPart: 0.4}
+// DefaultSizing is what the measurements in docs/MEASUREMENTS.md chose.
+var DefaultSizing = Sizing{Horizon: 11, FullSpan: 25, MostPart: 0.35, LeastPart: 0.02, EvenPart: 0.6, MostShares: 1, KeeperHorizon: 18, KeeperPart: 0.4}
 
 // part is the part of the unspent tokens that all hosts together may hold. It falls
 // with the third power of the time that the budget still lasts.
--- a/router/prepaid/wallet_test.go
+++ b/router/prepaid/wallet_test.go
@@ -19,9 +19,9 @@
 	w := &wallet{account: Account{Limit: 1_000_000, Granted: 100_000}, known: true, limit: 1_000_000}
 	now := time.Now()
 	w.demand, w.demandAt, w.used = demand, now, now
-	full := w.changeOfKeeper(DefaultPlan, 900_000, 0, now).Take
+	full := w.changeOfKeeper(DefaultSizing, 900_000, 0, now).Take
 	w.free = int64(refillBelow * float64(full))
-	is.Equal(w.changeOfKeeper(DefaultPlan, 900_000, 0, now), Change{}) // it is not filled up yet
+	is.Equal(w.changeOfKeeper(DefaultSizing, 900_000, 0, now), Change{}) // it is not filled up yet
 	is.True(float64(w.free) >= outage*wave*demand)
 }
 
@@ -31,5 +31,5 @@
 	w := &wallet{account: Account{Limit: 100_000, Granted: 90_000}, known: true, limit: 100_000}
 	now := time.Now()
 	w.demand, w.demandAt, w.used = 1000, now, now
-	is.True(w.changeOfKeeper(DefaultPlan, 10_000, 1000, now).Take <= 4_000)
+	is.True(w.changeOfKeeper(DefaultSizing, 10_000, 1000, now).Take <= 4_000)
 }
