--- a/router/node/reload.go
+++ b/router/node/reload.go
@@ -29,7 +29,7 @@
 	}
 	n.latest = fresh
 	n.retries.SetLimits(retryLimits(fresh))
-	n.treasury.SetPlan(plan(fresh))
+	n.treasury.SetSizing(plan(fresh))
 	n.fleet.SetSeeds(fresh.Host.Seeds)
 	n.targets.SetRegions(fresh.Host.RegionOf())
 	n.targets.SetDrainWithin(drainPart(settings.Milliseconds(fresh.Bounds.DrainMs)))
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -101,8 +101,8 @@
 	all.Wait()
 }
 
-// SetPlan changes how slices are sized.
-func (t *Allocator) SetPlan(p Sizing) {
+// SetSizing changes how slices are sized.
+func (t *Allocator) SetSizing(p Sizing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.opts.Plan = p
