--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -43,7 +43,7 @@
 		announced(f, all...)
 		f.SetParts(partsOf(limits))
 		tr := prepaid.New(prepaid.Options{
-			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Plan: prepaid.DefaultSizing,
+			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Sizing: prepaid.DefaultSizing,
 			Timeout: 100 * time.Millisecond, Interval: 400 * time.Millisecond, Wait: 100 * time.Millisecond,
 			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, Gather: f.Gather, GiveBack: f.GiveBack,
 		})
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -266,7 +266,7 @@
 	n.treasury = prepaid.New(prepaid.Options{
 		Log: n.outside.Log, Topic: n.outside.BudgetsTopic, Partitions: n.cfg.Log.Partitions,
 		Host:      n.cfg.Host.Name + "/" + incarnation,
-		Plan:      plan(n.cfg),
+		Sizing:    plan(n.cfg),
 		Timeout:   settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		Interval:  settings.Milliseconds(b.IntervalMs),
 		Wait:      settings.Milliseconds(b.WaitMs),
--- a/router/prepaid/clerk.go
+++ b/router/prepaid/clerk.go
@@ -286,7 +286,7 @@
 	if !keeper {
 		return w.changeForWaiting(time.Now())
 	}
-	return w.change(t.opts.Plan, count, t.sparse(count), time.Now())
+	return w.change(t.opts.Sizing, count, t.sparse(count), time.Now())
 }
 
 // orders works out the changes that are due and debits what is given back.
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -62,7 +62,7 @@
 	h := newHosts(t, 20)
 	asked := make(chan struct{}, 1)
 	tr, _ := h.startWith(Options{
-		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Plan: DefaultSizing,
+		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, Wait: 200 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(organisation string) (int, bool) { return 1, organisation == "kept" },
@@ -115,7 +115,7 @@
 	var up atomic.Bool
 	up.Store(true)
 	tr, _ := h.startWith(Options{
-		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Plan: DefaultSizing,
+		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, Wait: 100 * time.Millisecond,
 		Hosts: func() int { return 2 }, LogUp: up.Load,
 	})
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -102,7 +102,7 @@
 	keeper, _ := h.start("keeper", nil)
 	var calls, gifts atomic.Int64
 	borrower, _ := h.startWith(Options{
-		Log: h.log.Host("borrower"), Topic: "b", Partitions: 2, Host: "borrower", Plan: DefaultSizing,
+		Log: h.log.Host("borrower"), Topic: "b", Partitions: 2, Host: "borrower", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, Wait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
@@ -159,7 +159,7 @@
 	is := is.New(t)
 	h := newHosts(t, 20)
 	tr, _ := h.startWith(Options{
-		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Plan: DefaultSizing,
+		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, Wait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
@@ -176,7 +176,7 @@
 	h := newHosts(t, 20)
 	var asked, calls atomic.Int64
 	tr, _ := h.startWith(Options{
-		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Plan: DefaultSizing,
+		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, Wait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -26,7 +26,7 @@
 	Topic      string
 	Partitions int
 	Host       string // name and incarnation, unique for each start
-	Plan       Sizing
+	Sizing     Sizing
 	Timeout    time.Duration // of a call to the log
 	Interval   time.Duration // between looks at the accounts of a partition
 	Wait       time.Duration // a request waits so long for tokens
@@ -105,7 +105,7 @@
 func (t *Allocator) SetSizing(p Sizing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.opts.Plan = p
+	t.opts.Sizing = p
 }
 
 // Budget is the prepaid amount of an organisation by a configuration.
