--- a/router/prepaid/append.go
+++ b/router/prepaid/append.go
@@ -53,7 +53,7 @@
 			if ctx.Err() != nil {
 				return false, ctx.Err()
 			}
-			wait.For(ctx, wait.Jitter(c.treasury.opts.Again))
+			wait.For(ctx, wait.Jitter(c.treasury.opts.RetryDelay))
 			if c.endMoved(ctx, at) {
 				return c.afterConflict(ctx, orders, at, unknown)
 			}
@@ -104,7 +104,7 @@
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
-		wait.For(ctx, wait.Jitter(c.treasury.opts.Again))
+		wait.For(ctx, wait.Jitter(c.treasury.opts.RetryDelay))
 	}
 }
 
--- a/router/prepaid/append_test.go
+++ b/router/prepaid/append_test.go
@@ -74,7 +74,7 @@
 	l := memlog.New()
 	forgetful := &forgetfulLog{Log: l.Host("a"), log: l}
 	tr := New(Options{
-		Log: forgetful, Topic: "b", Partitions: 1, Host: "a", Sizing: DefaultSizing, Again: time.Nanosecond,
+		Log: forgetful, Topic: "b", Partitions: 1, Host: "a", Sizing: DefaultSizing, RetryDelay: time.Nanosecond,
 		Timeout: time.Second, Hosts: func() int { return 1 },
 	})
 	tr.Configure(1, []Budget{{"org", 1000}}, true)
--- a/router/prepaid/fuzz_test.go
+++ b/router/prepaid/fuzz_test.go
@@ -39,8 +39,8 @@
 	name := fmt.Sprintf("h%d/%d", i, m.starts)
 	opts := Options{
 		Log: m.log.Host(fmt.Sprintf("h%d", i)), Topic: "b", Partitions: 1, Host: name,
-		Sizing: Sizing{Horizon: 5, FullSpan: 10, MostPart: 0.9, LeastPart: 0.2, EvenPart: 0.5, KeeperHorizon: 5, KeeperPart: 0.5},
-		Again:  time.Nanosecond, Timeout: time.Second, Hosts: func() int { return fuzzHosts },
+		Sizing:     Sizing{Horizon: 5, FullSpan: 10, MostPart: 0.9, LeastPart: 0.2, EvenPart: 0.5, KeeperHorizon: 5, KeeperPart: 0.5},
+		RetryDelay: time.Nanosecond, Timeout: time.Second, Hosts: func() int { return fuzzHosts },
 	}
 	if m.keepers > 0 {
 		opts.Keepers = func(string) (int, bool) { return m.keepers, i < m.keepers }
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -30,7 +30,7 @@
 	Timeout    time.Duration // of a call to the log
 	Interval   time.Duration // between looks at the accounts of a partition
 	Wait       time.Duration // a request waits so long for tokens
-	Again      time.Duration // pause after a call without an answer; 0: 80 ms
+	RetryDelay time.Duration // pause after a call without an answer; 0: 80 ms
 	Hosts      func() int    // how many hosts share the budgets
 	// Keepers says how many hosts take slices of a budget from the log, and whether
 	// this host is one of them; the others borrow. nil: all hosts are.
@@ -78,8 +78,8 @@
 
 // New makes a treasury without budgets; Run serves it.
 func New(opts Options) *Allocator {
-	if opts.Again <= 0 {
-		opts.Again = defaultAgain
+	if opts.RetryDelay <= 0 {
+		opts.RetryDelay = defaultAgain
 	}
 	t := &Allocator{opts: opts, wallets: map[string]*wallet{}, changed: make(chan struct{}), loans: newLoanBook(), gifts: newGiftBook(),
 		history: LimitHistory{Lowered: map[string]int64{}}, gapped: make(chan struct{}, 1)}
