--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -164,7 +164,7 @@
 		Domain: "z1", DrainWithin: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
 	})
 	one := func() int { return 1 }
-	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, Wait: 20 * time.Millisecond})
+	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, MaxWait: 20 * time.Millisecond})
 	b.guard = quarantine.New(quarantine.Options{
 		Host: "h1", Write: func(context.Context, eventlog.Record) error { return nil },
 		OnHold: func(d quarantine.Digest) { b.handler.Hold(d) }, Count: func(string) {}, Go: func(_ string, f func()) { go f() },
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -269,7 +269,7 @@
 		Sizing:    plan(n.cfg),
 		Timeout:   settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		Interval:  settings.Milliseconds(b.IntervalMs),
-		Wait:      settings.Milliseconds(b.WaitMs),
+		MaxWait:   settings.Milliseconds(b.WaitMs),
 		Hosts:     n.fleet.Size,
 		Keepers:   n.keepers,
 		Borrow:    n.fleet.Borrow,
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -29,7 +29,7 @@
 	Sizing     Sizing
 	Timeout    time.Duration // of a call to the log
 	Interval   time.Duration // between looks at the accounts of a partition
-	Wait       time.Duration // a request waits so long for tokens
+	MaxWait    time.Duration // a request waits so long for tokens
 	RetryDelay time.Duration // pause after a call without an answer; 0: 80 ms
 	Hosts      func() int    // how many hosts share the budgets
 	// Keepers says how many hosts take slices of a budget from the log, and whether
@@ -187,7 +187,7 @@
 			return nil, ErrExhausted
 		}
 	}
-	got, err := t.reserveOwn(ctx, organisation, tokens, t.opts.Wait)
+	got, err := t.reserveOwn(ctx, organisation, tokens, t.opts.MaxWait)
 	if !errors.Is(err, ErrExhausted) || !keeper {
 		return got, err
 	}
