--- a/router/prepaid/clerk.go
+++ b/router/prepaid/clerk.go
@@ -119,7 +119,7 @@
 
 func (c *clerk) interval() time.Duration {
 	t := c.treasury
-	return t.opts.Interval * time.Duration(max(t.opts.Hosts(), usualHosts)) / usualHosts
+	return t.opts.RefreshInterval * time.Duration(max(t.opts.Hosts(), usualHosts)) / usualHosts
 }
 
 // holdLook is the time between two looks of a host at slices that it holds for others: what
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -63,7 +63,7 @@
 	asked := make(chan struct{}, 1)
 	tr, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Sizing: DefaultSizing,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 200 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 200 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(organisation string) (int, bool) { return 1, organisation == "kept" },
 		GiveBack: func(ctx context.Context, _ string, _ int64) bool {
@@ -116,7 +116,7 @@
 	up.Store(true)
 	tr, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Sizing: DefaultSizing,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts: func() int { return 2 }, LogUp: up.Load,
 	})
 	tr.Configure(1, []Budget{{"org", 100000}}, true)
--- a/router/prepaid/harness_test.go
+++ b/router/prepaid/harness_test.go
@@ -34,7 +34,7 @@
 func (h *hosts) start(name string, borrow func(context.Context, string, int64, float64) Loan) (tr *Allocator, stop func()) {
 	return h.startWith(Options{
 		Log: h.log.Host(name), Topic: "b", Partitions: 2, Host: name, Sizing: DefaultSizing,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts: func() int { return int(h.size.Load()) }, Borrow: borrow,
 	})
 }
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -103,7 +103,7 @@
 	var calls, gifts atomic.Int64
 	borrower, _ := h.startWith(Options{
 		Log: h.log.Host("borrower"), Topic: "b", Partitions: 2, Host: "borrower", Sizing: DefaultSizing,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
 		Borrow: func(ctx context.Context, organisation string, n int64, _ float64) Loan {
@@ -160,7 +160,7 @@
 	h := newHosts(t, 20)
 	tr, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Sizing: DefaultSizing,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
 		Borrow:  func(context.Context, string, int64, float64) Loan { return Loan{} },
@@ -177,7 +177,7 @@
 	var asked, calls atomic.Int64
 	tr, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Sizing: DefaultSizing,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
 		Borrow: func(context.Context, string, int64, float64) Loan {
@@ -244,7 +244,7 @@
 	var asked []int64
 	tr := New(Options{
 		Log: memlog.New().Host("a"), Topic: "budgets", Partitions: 1,
-		Timeout: 50 * time.Millisecond, Interval: 20 * time.Millisecond, MaxWait: 20 * time.Millisecond,
+		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 20 * time.Millisecond,
 		Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true },
 		Borrow: func(_ context.Context, _ string, tokens int64, _ float64) Loan {
 			asked = append(asked, tokens)
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -22,16 +22,16 @@
 
 // Options configure a Treasury.
 type Options struct {
-	Log        eventlog.Log
-	Topic      string
-	Partitions int
-	Host       string // name and incarnation, unique for each start
-	Sizing     Sizing
-	Timeout    time.Duration // of a call to the log
-	Interval   time.Duration // between looks at the accounts of a partition
-	MaxWait    time.Duration // a request waits so long for tokens
-	RetryDelay time.Duration // pause after a call without an answer; 0: 80 ms
-	Hosts      func() int    // how many hosts share the budgets
+	Log             eventlog.Log
+	Topic           string
+	Partitions      int
+	Host            string // name and incarnation, unique for each start
+	Sizing          Sizing
+	Timeout         time.Duration // of a call to the log
+	RefreshInterval time.Duration // between looks at the accounts of a partition
+	MaxWait         time.Duration // a request waits so long for tokens
+	RetryDelay      time.Duration // pause after a call without an answer; 0: 80 ms
+	Hosts           func() int    // how many hosts share the budgets
 	// Keepers says how many hosts take slices of a budget from the log, and whether
 	// this host is one of them; the others borrow. nil: all hosts are.
 	Keepers func(organisation string) (count int, self bool)
