--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -166,7 +166,7 @@
 // gather gets what a loan lacks from other keepers, for a keeper that ran dry: the host that
 // asked does not ask all of them. nil: they have too little.
 func (t *Allocator) gather(ctx context.Context, ask LoanRequest) *Reservation {
-	if t.opts.Gather == nil || ctx.Err() != nil {
+	if t.opts.BorrowFromKeepers == nil || ctx.Err() != nil {
 		return nil
 	}
 	missing, refused := t.missing(ask.Organisation, ask.Tokens, time.Now())
@@ -174,7 +174,7 @@
 		return nil
 	}
 	if missing > 0 {
-		loan := t.opts.Gather(ctx, ask.Organisation, missing)
+		loan := t.opts.BorrowFromKeepers(ctx, ask.Organisation, missing)
 		t.takeLoan(ask.Organisation, missing, loan)
 	}
 	got, _ := t.try(ask.Organisation, ask.Tokens)
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -38,9 +38,9 @@
 	// Borrow asks other hosts for so many tokens for a request of a cost; nil: no other
 	// host is asked.
 	Borrow func(ctx context.Context, organisation string, tokens int64, cost float64) Loan
-	// Gather asks other keepers for so many of the tokens that they have, of a budget with more
+	// BorrowFromKeepers asks other keepers for so many of the tokens that they have, of a budget with more
 	// keepers than a request asks; nil: none is asked.
-	Gather func(ctx context.Context, organisation string, tokens int64) Loan
+	BorrowFromKeepers func(ctx context.Context, organisation string, tokens int64) Loan
 	// GiveBack gives idle tokens of a host that is no keeper to one; nil: never.
 	GiveBack func(ctx context.Context, organisation string, tokens int64) bool
 	// OnGive is told what is left of a budget here, before idle tokens of it are on their way to
