--- a/router/node/node.go
+++ b/router/node/node.go
@@ -274,7 +274,7 @@
 		Keepers:           n.keepers,
 		Borrow:            n.fleet.Borrow,
 		BorrowFromKeepers: n.fleet.Gather,
-		GiveBack:          n.fleet.GiveBack,
+		TransferIdle:      n.fleet.GiveBack,
 		OnGive:            func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
 		Histories:         n.fleet.History,
 		AllLost:           n.fleet.AllLost,
--- a/router/prepaid/gifts.go
+++ b/router/prepaid/gifts.go
@@ -13,7 +13,7 @@
 // giveIdle gives the tokens of budgets that this host is no keeper of and has not
 // used for a while to a keeper.
 func (t *Allocator) giveIdle(ctx context.Context, c *clerk) {
-	if t.opts.GiveBack == nil {
+	if t.opts.TransferIdle == nil {
 		return
 	}
 	idle := t.takeIdle(c, time.Now())
@@ -25,7 +25,7 @@
 	guard.Go("idle tokens", func() {
 		for organisation, tokens := range idle {
 			// Without an answer they count as spent.
-			took := t.opts.GiveBack(ctx, organisation, tokens)
+			took := t.opts.TransferIdle(ctx, organisation, tokens)
 			log.WithFields(log.Fields{"organisation": organisation, "tokens": tokens, "took": took}).Debug("idle tokens given back")
 		}
 	})
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -66,7 +66,7 @@
 		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 200 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(organisation string) (int, bool) { return 1, organisation == "kept" },
-		GiveBack: func(ctx context.Context, _ string, _ int64) bool {
+		TransferIdle: func(ctx context.Context, _ string, _ int64) bool {
 			asked <- struct{}{}
 			<-ctx.Done() // the keeper never answers
 			return false
@@ -90,7 +90,7 @@
 	tr := New(Options{
 		Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, false },
 		OnGive: func(h Holding) { told <- h },
-		GiveBack: func(_ context.Context, _ string, tokens int64) bool {
+		TransferIdle: func(_ context.Context, _ string, tokens int64) bool {
 			is.Equal(len(told), 1)
 			given <- tokens
 			return true
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -109,7 +109,7 @@
 		Borrow: func(ctx context.Context, organisation string, n int64, _ float64) Loan {
 			return keeper.Lend(ctx, LoanRequest{Organisation: organisation, Tokens: n})
 		},
-		GiveBack: func(_ context.Context, organisation string, n int64) bool {
+		TransferIdle: func(_ context.Context, organisation string, n int64) bool {
 			return keeper.Credit(Transfer{ID: fmt.Sprint(gifts.Add(1)), Organisation: organisation, Tokens: n})
 		},
 		OnCall: func(string) { calls.Add(1) },
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -41,8 +41,8 @@
 	// BorrowFromKeepers asks other keepers for so many of the tokens that they have, of a budget with more
 	// keepers than a request asks; nil: none is asked.
 	BorrowFromKeepers func(ctx context.Context, organisation string, tokens int64) Loan
-	// GiveBack gives idle tokens of a host that is no keeper to one; nil: never.
-	GiveBack func(ctx context.Context, organisation string, tokens int64) bool
+	// TransferIdle gives idle tokens of a host that is no keeper to one; nil: never.
+	TransferIdle func(ctx context.Context, organisation string, tokens int64) bool
 	// OnGive is told what is left of a budget here, before idle tokens of it are on their way to
 	// another host: a host that ends then would be taken to have them still. nil: nobody is.
 	OnGive func(h Holding)
