--- a/router/node/node.go
+++ b/router/node/node.go
@@ -275,7 +275,7 @@
 		Borrow:            n.fleet.Borrow,
 		BorrowFromKeepers: n.fleet.Gather,
 		TransferIdle:      n.fleet.GiveBack,
-		OnGive:            func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
+		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
 		Histories:         n.fleet.History,
 		AllLost:           n.fleet.AllLost,
 		LogUp:             func() bool { up, _ := n.configCopy.Up(); return up },
--- a/router/prepaid/gifts.go
+++ b/router/prepaid/gifts.go
@@ -33,12 +33,12 @@
 
 // tellLeft tells what is left here of budgets whose idle tokens are given away.
 func (t *Allocator) tellLeft(idle map[string]int64) {
-	if t.opts.OnGive == nil {
+	if t.opts.BeforeTransfer == nil {
 		return
 	}
 	for organisation := range idle {
 		if h, ok := t.Holding(organisation); ok {
-			t.opts.OnGive(h)
+			t.opts.BeforeTransfer(h)
 		}
 	}
 }
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -89,7 +89,7 @@
 	given := make(chan int64, 1)
 	tr := New(Options{
 		Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, false },
-		OnGive: func(h Holding) { told <- h },
+		BeforeTransfer: func(h Holding) { told <- h },
 		TransferIdle: func(_ context.Context, _ string, tokens int64) bool {
 			is.Equal(len(told), 1)
 			given <- tokens
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -43,9 +43,9 @@
 	BorrowFromKeepers func(ctx context.Context, organisation string, tokens int64) Loan
 	// TransferIdle gives idle tokens of a host that is no keeper to one; nil: never.
 	TransferIdle func(ctx context.Context, organisation string, tokens int64) bool
-	// OnGive is told what is left of a budget here, before idle tokens of it are on their way to
+	// BeforeTransfer is told what is left of a budget here, before idle tokens of it are on their way to
 	// another host: a host that ends then would be taken to have them still. nil: nobody is.
-	OnGive func(h Holding)
+	BeforeTransfer func(h Holding)
 	// Histories asks another host, a different one each time, what it saw of the limits
 	// since a version; nil: none is asked.
 	Histories func(ctx context.Context, since int64) (h LimitHistory, ok bool)
