--- a/router/prepaid/history.go
+++ b/router/prepaid/history.go
@@ -117,7 +117,7 @@
 
 // fillGaps asks other hosts for missed versions until ctx ends.
 func (t *Allocator) fillGaps(ctx context.Context) {
-	if t.opts.Histories == nil {
+	if t.opts.FetchHistory == nil {
 		return
 	}
 	for ctx.Err() == nil {
@@ -131,7 +131,7 @@
 			if !waits {
 				break
 			}
-			if h, ok := t.opts.Histories(ctx, g.after); ok && t.learn(h) {
+			if h, ok := t.opts.FetchHistory(ctx, g.after); ok && t.learn(h) {
 				break
 			}
 			wait.For(ctx, wait.Jitter(pause))
--- a/router/prepaid/history_test.go
+++ b/router/prepaid/history_test.go
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	var asked atomic.Int64
 	tr, _ := holder(1000)
-	tr.opts.Histories = func(context.Context, int64) (LimitHistory, bool) {
+	tr.opts.FetchHistory = func(context.Context, int64) (LimitHistory, bool) {
 		switch asked.Add(1) {
 		case 1:
 			return LimitHistory{}, false // silent
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -46,9 +46,9 @@
 	// BeforeTransfer is told what is left of a budget here, before idle tokens of it are on their way to
 	// another host: a host that ends then would be taken to have them still. nil: nobody is.
 	BeforeTransfer func(h Holding)
-	// Histories asks another host, a different one each time, what it saw of the limits
+	// FetchHistory asks another host, a different one each time, what it saw of the limits
 	// since a version; nil: none is asked.
-	Histories func(ctx context.Context, since int64) (h LimitHistory, ok bool)
+	FetchHistory func(ctx context.Context, since int64) (h LimitHistory, ok bool)
 	// AllLost says whether all hosts were lost, so that what is left of the budgets has to
 	// last until they are topped up; nil: it always has to.
 	AllLost func() bool
