--- a/router/prepaid/shed.go
+++ b/router/prepaid/shed.go
@@ -176,7 +176,7 @@
 // less: until the next top-up once all hosts were lost. The lock is held.
 func (t *Allocator) rations(organisation string, w *wallet, now time.Time) bool {
 	switch {
-	case t.opts.AllLost != nil && !t.opts.AllLost():
+	case t.opts.AllHostsLost != nil && !t.opts.AllHostsLost():
 		w.ration = ration{}
 		return false
 	case w.ration.since.IsZero():
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -49,9 +49,9 @@
 	// FetchHistory asks another host, a different one each time, what it saw of the limits
 	// since a version; nil: none is asked.
 	FetchHistory func(ctx context.Context, since int64) (h LimitHistory, ok bool)
-	// AllLost says whether all hosts were lost, so that what is left of the budgets has to
+	// AllHostsLost says whether all hosts were lost, so that what is left of the budgets has to
 	// last until they are topped up; nil: it always has to.
-	AllLost func() bool
+	AllHostsLost func() bool
 	// LogUp says whether the log answers reads of this host; nil: it always does.
 	LogUp func() bool
 	// OnCall counts calls to the log by outcome.
