--- a/router/node/node.go
+++ b/router/node/node.go
@@ -278,7 +278,7 @@
 		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
 		FetchHistory:      n.fleet.History,
 		AllHostsLost:      n.fleet.AllLost,
-		LogUp:             func() bool { up, _ := n.configCopy.Up(); return up },
+		LogAvailable:      func() bool { up, _ := n.configCopy.Up(); return up },
 		OnCall:            func(outcome string) { n.observer.Count(fmt.Sprintf("budget_appends_total{outcome=%q}", outcome)) },
 	})
 }
--- a/router/prepaid/clerk.go
+++ b/router/prepaid/clerk.go
@@ -266,7 +266,7 @@
 
 // returns says whether tokens may be given back to the log. While it is away they would be out of
 // use until it has answered: they are debited before the append.
-func (t *Allocator) returns() bool { return t.opts.LogUp == nil || t.opts.LogUp() }
+func (t *Allocator) returns() bool { return t.opts.LogAvailable == nil || t.opts.LogAvailable() }
 
 // change is what is to be asked of an account; the treasury's lock is held. returns says whether
 // tokens that are not needed may go back.
--- a/router/prepaid/gifts_test.go
+++ b/router/prepaid/gifts_test.go
@@ -117,7 +117,7 @@
 	tr, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 1, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
-		Hosts: func() int { return 2 }, LogUp: up.Load,
+		Hosts: func() int { return 2 }, LogAvailable: up.Load,
 	})
 	tr.Configure(1, []Budget{{"org", 100000}}, true)
 	free := func() int64 {
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -52,8 +52,8 @@
 	// AllHostsLost says whether all hosts were lost, so that what is left of the budgets has to
 	// last until they are topped up; nil: it always has to.
 	AllHostsLost func() bool
-	// LogUp says whether the log answers reads of this host; nil: it always does.
-	LogUp func() bool
+	// LogAvailable says whether the log answers reads of this host; nil: it always does.
+	LogAvailable func() bool
 	// OnCall counts calls to the log by outcome.
 	OnCall func(outcome string)
 }
