--- a/router/prepaid/account.go
+++ b/router/prepaid/account.go
@@ -26,8 +26,8 @@
 	Op     int64  `json:"op"`
 }
 
-// Left is what can still be taken; negative once a limit was lowered.
-func (a Account) Left() int64 { return a.Limit - a.Granted }
+// Remaining is what can still be taken; negative once a limit was lowered.
+func (a Account) Remaining() int64 { return a.Limit - a.Granted }
 
 // Encode gives the record's value.
 func (a Account) Encode() []byte {
@@ -78,7 +78,7 @@
 		next.Granted -= min(c.Return, a.Granted)
 		return next, 0, true
 	}
-	taken = min(c.Take, a.Left())
+	taken = min(c.Take, a.Remaining())
 	if taken <= 0 || taken < c.Least {
 		return a, 0, false
 	}
--- a/router/prepaid/account_test.go
+++ b/router/prepaid/account_test.go
@@ -98,7 +98,7 @@
 		if ok && taken > 0 && next.Granted > w.limit {
 			t.Fatalf("granted %d of %d", next.Granted, w.limit)
 		}
-		unspent := float64(max(w.current().Left(), 0) + w.free)
+		unspent := float64(max(w.current().Remaining(), 0) + w.free)
 		most := DefaultSizing.MostPart * DefaultSizing.MostShares * unspent / float64(hosts)
 		if len(w.waiting) == 0 && taken > 0 && float64(w.free+taken) > most+1 {
 			t.Fatalf("holds %d, at most %.0f", w.free+taken, most)
--- a/router/prepaid/shed.go
+++ b/router/prepaid/shed.go
@@ -161,7 +161,7 @@
 		return false
 	}
 	// What others hold is not known, and near a budget's end it is little.
-	unspent := float64(w.current().Left() + w.free)
+	unspent := float64(w.current().Remaining() + w.free)
 	span := max(toppedUpIn-now.Sub(w.ration.since).Seconds(), leastSpan)
 	return w.shed.sheds(cost, tokens, unspent, w.part(count, now), span, now)
 }
--- a/router/prepaid/treasury.go
+++ b/router/prepaid/treasury.go
@@ -232,7 +232,7 @@
 	if w == nil || !w.known {
 		return false
 	}
-	w.hungry = w.current().Left()+w.free < tokens
+	w.hungry = w.current().Remaining()+w.free < tokens
 	return w.hungry
 }
 
@@ -265,7 +265,7 @@
 		return true
 	}
 	room := w.room(time.Now())
-	if !t.clerkOf(organisation).away() && w.current().Left() >= room {
+	if !t.clerkOf(organisation).away() && w.current().Remaining() >= room {
 		return true
 	}
 	return w.free >= max(tokens, room)
--- a/router/prepaid/wallet.go
+++ b/router/prepaid/wallet.go
@@ -108,7 +108,7 @@
 	if w.account.Version < w.verify {
 		return false
 	}
-	return w.current().Left() >= 0
+	return w.current().Remaining() >= 0
 }
 
 // note adds a reservation to the demand: a run may take long, and what it needs is
@@ -153,7 +153,7 @@
 func (w *wallet) changeForWaiting(now time.Time) Change {
 	w.decay(now)
 	w.wanted = 0
-	if w.current().Left() < 0 {
+	if w.current().Remaining() < 0 {
 		return Change{Return: w.free}
 	}
 	if len(w.waiting) > 0 {
@@ -163,7 +163,7 @@
 		return Change{} // all of it goes to a keeper
 	}
 	need := w.demand + w.largest // a second of it, and one request more
-	if unspent := float64(w.current().Left() + w.free); w.excess(need, unspent) {
+	if unspent := float64(w.current().Remaining() + w.free); w.excess(need, unspent) {
 		return Change{Return: w.free - int64(need)}
 	}
 	return Change{}
@@ -182,10 +182,10 @@
 func (w *wallet) change(p Sizing, hosts int, sparse bool, now time.Time) Change {
 	w.decay(now)
 	a := w.current()
-	if a.Left() < 0 {
+	if a.Remaining() < 0 {
 		return Change{Return: w.free}
 	}
-	left := float64(a.Left())
+	left := float64(a.Remaining())
 	unspent := left + float64(w.free)
 	flow := w.flow.rate(now)
 	if sparse {
@@ -226,7 +226,7 @@
 		return w.takeForWaiting(want)
 	}
 	switch {
-	case free < refillBelow*want && want-free >= usefulTake*w.largest && w.current().Left() > 0:
+	case free < refillBelow*want && want-free >= usefulTake*w.largest && w.current().Remaining() > 0:
 		return Change{Take: int64(want - free)}
 	case w.excess(want, unspent):
 		return Change{Return: int64(free - want)}
