--- a/router/prepaid/account.go
+++ b/router/prepaid/account.go
@@ -54,9 +54,9 @@
 	return a, nil
 }
 
-// Under gives the account under the limit of a configuration, if that is newer
+// WithLimit gives the account under the limit of a configuration, if that is newer
 // than the one it was written under.
-func (a Account) Under(limit, version int64) Account {
+func (a Account) WithLimit(limit, version int64) Account {
 	if version > a.Version {
 		a.Limit, a.Version = limit, version
 	}
--- a/router/prepaid/account_test.go
+++ b/router/prepaid/account_test.go
@@ -63,8 +63,8 @@
 func TestNewerLimitCounts(t *testing.T) {
 	is := is.New(t)
 	a := Account{Granted: 10, Limit: 100, Version: 5}
-	is.Equal(a.Under(50, 6).Limit, int64(50))
-	is.Equal(a.Under(500, 4).Limit, int64(100)) // an older configuration changes nothing
+	is.Equal(a.WithLimit(50, 6).Limit, int64(50))
+	is.Equal(a.WithLimit(500, 4).Limit, int64(100)) // an older configuration changes nothing
 	decoded, err := DecodeAccount(a.Encode())
 	is.NoErr(err)
 	is.Equal(decoded, a)
--- a/router/prepaid/wallet.go
+++ b/router/prepaid/wallet.go
@@ -83,7 +83,7 @@
 }
 
 // current is the account under the newest limit that this host knows.
-func (w *wallet) current() Account { return w.account.Under(w.limit, w.version) }
+func (w *wallet) current() Account { return w.account.WithLimit(w.limit, w.version) }
 
 // setLimit takes over the limit of a newer version; missed says that versions before it may
 // have been skipped, and one of them may have raised the limit, also where it is the same
