--- a/router/prepaid/account.go
+++ b/router/prepaid/account.go
@@ -65,9 +65,9 @@
 
 // Change is what a host wants to do with an account.
 type Change struct {
-	Take   int64 // wanted
-	Least  int64 // below this, taking is of no use; at least 1 token is taken
-	Return int64
+	Take    int64 // wanted
+	MinTake int64 // below this, taking is of no use; at least 1 token is taken
+	Return  int64
 }
 
 // Apply works out the account after a change and what was taken. ok is false if
@@ -79,7 +79,7 @@
 		return next, 0, true
 	}
 	taken = min(c.Take, a.Remaining())
-	if taken <= 0 || taken < c.Least {
+	if taken <= 0 || taken < c.MinTake {
 		return a, 0, false
 	}
 	next.Granted += taken
--- a/router/prepaid/account_test.go
+++ b/router/prepaid/account_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"take", Account{Granted: 10, Limit: 100}, Change{Take: 20}, 20, 30, true},
 		{"take what is left", Account{Granted: 90, Limit: 100}, Change{Take: 20}, 10, 100, true},
-		{"too little is left", Account{Granted: 90, Limit: 100}, Change{Take: 20, Least: 15}, 0, 90, false},
+		{"too little is left", Account{Granted: 90, Limit: 100}, Change{Take: 20, MinTake: 15}, 0, 90, false},
 		{"nothing is left", Account{Granted: 100, Limit: 100}, Change{Take: 20}, 0, 100, false},
 		{"limit was lowered", Account{Granted: 100, Limit: 50}, Change{Take: 20}, 0, 100, false},
 		{"give back", Account{Granted: 100, Limit: 50}, Change{Return: 30}, 0, 70, true},
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -151,7 +151,7 @@
 	w.free = 200
 	is.Equal(w.changeForWaiting(now), Change{})
 	w.wait(300)
-	is.Equal(w.changeForWaiting(now), Change{Take: 100, Least: 100})
+	is.Equal(w.changeForWaiting(now), Change{Take: 100, MinTake: 100})
 }
 
 // A borrower whose keepers can't be reached takes a slice itself.
--- a/router/prepaid/wallet.go
+++ b/router/prepaid/wallet.go
@@ -288,7 +288,7 @@
 		sum += tokens
 		least = min(least, tokens)
 	}
-	return Change{Take: max(int64(want), sum) - w.free, Least: max(least-w.free, 1)}
+	return Change{Take: max(int64(want), sum) - w.free, MinTake: max(least-w.free, 1)}
 }
 
 // wait notes that a request waits for tokens.
