--- a/router/retrybudget/retrybudget.go
+++ b/router/retrybudget/retrybudget.go
@@ -97,8 +97,8 @@
 	return now.UnixNano() / (int64(b.limits.Window) / slots)
 }
 
-// Request counts a request from a client.
-func (b *Budget) Request(now time.Time) {
+// CountRequest counts a request from a client.
+func (b *Budget) CountRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests.add(b.slot(now))
--- a/router/retrybudget/retrybudget_test.go
+++ b/router/retrybudget/retrybudget_test.go
@@ -34,7 +34,7 @@
 			}
 			b := fleet[i]
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(start.Add(at))
+				b.CountRequest(start.Add(at))
 				requests = append(requests, at)
 			}
 			if b.Spend(start.Add(at)) {
