--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -52,7 +52,7 @@
 	}
 	q.head = h.commonHead(q.r, q.body)
 	q.resume = q.r.Header.Get(h.names.LastEventID)
-	h.opts.Retries.Of(q.service).CountRequest(q.arrived)
+	h.opts.Retries.ForService(q.service).CountRequest(q.arrived)
 	return q.reserve()
 }
 
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -150,7 +150,7 @@
 	if res.mayHaveRun() && !q.reserveAnother(underway) {
 		return false
 	}
-	return q.handler.opts.Retries.Of(q.service).Spend(time.Now())
+	return q.handler.opts.Retries.ForService(q.service).Spend(time.Now())
 }
 
 // choose picks a target. Where the request was to try a new version and none of its targets takes
--- a/router/node/node_test.go
+++ b/router/node/node_test.go
@@ -82,7 +82,7 @@
 		cfg.Host.Listen, cfg.Host.ReadyListen, cfg.Host.PeerListen)
 	h.Reload(write(base + "[bounds]\nretry_slack=0\nretry_ratio=0\n[output]\nlevel=warning\n"))
 	f.is.Equal(log.GetLevel(), log.WarnLevel)
-	f.is.True(!h.retries.Of("s").Spend(time.Now()))
+	f.is.True(!h.retries.ForService("s").Spend(time.Now()))
 	h.Reload(write(base + "[bounds]\nretry_slack=bad\n")) // changes nothing
 	f.is.Equal(h.latest.Bounds.RetrySlack, 0.0)
 	h.Reload(filepath.Join(t.TempDir(), "missing.ini"))
--- a/router/retrybudget/retrybudget.go
+++ b/router/retrybudget/retrybudget.go
@@ -134,8 +134,8 @@
 	return &Set{limits: l, hosts: hosts, start: start, budgets: map[string]*Budget{}}
 }
 
-// Of gives the budget of a service.
-func (s *Set) Of(service string) *Budget {
+// ForService gives the budget of a service.
+func (s *Set) ForService(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[service]
--- a/router/retrybudget/retrybudget_test.go
+++ b/router/retrybudget/retrybudget_test.go
@@ -95,8 +95,8 @@
 func TestSetLimits(t *testing.T) {
 	is := is.New(t)
 	s := NewSet(Limits{Slack: 0, Window: time.Second}, func() int { return 1 }, time.Time{})
-	is.True(!s.Of("a").Spend(time.Unix(1, 0)))
+	is.True(!s.ForService("a").Spend(time.Unix(1, 0)))
 	s.SetLimits(Limits{Slack: 10, Window: time.Second})
-	is.True(s.Of("a").Spend(time.Unix(1, 0)))
-	is.True(s.Of("b").Spend(time.Unix(1, 0)))
+	is.True(s.ForService("a").Spend(time.Unix(1, 0)))
+	is.True(s.ForService("b").Spend(time.Unix(1, 0)))
 }
