--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -69,12 +69,12 @@
 
 func TestSmallFleetHasNoKeepers(t *testing.T) {
 	is := is.New(t)
-	all := hosts(keeper.Group, 3)
+	all := hosts(keeper.SmallFleet, 3)
 	for _, self := range all {
 		f := newFleet(self)
 		announced(f, all...)
 		count, own := f.Keepers("org")
-		is.Equal(count, keeper.Group)
+		is.Equal(count, keeper.SmallFleet)
 		is.True(own)
 		is.Equal(f.lenders("org"), nil)
 	}
@@ -123,7 +123,7 @@
 func TestReadersOfALargeFleet(t *testing.T) {
 	is := is.New(t)
 	small := newFleet(Host{Name: "h0", Domain: "z0"})
-	announced(small, hosts(keeper.Group, 3)...)
+	announced(small, hosts(keeper.SmallFleet, 3)...)
 	is.Equal(len(small.readers("list")), 0)
 	all := hosts(87, 3)
 	readers := map[string]bool{}
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	others := f.others()
 	hosts := len(others) + 1
-	if hosts <= keeper.Group {
+	if hosts <= keeper.SmallFleet {
 		return nil
 	}
 	names := keeper.Lenders(organisation, f.opts.Self.Name, others, keeper.Count(hosts, f.parts[organisation]))
--- a/router/fleet/relay.go
+++ b/router/fleet/relay.go
@@ -54,7 +54,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	domains, total := f.domains()
-	if total <= keeper.Group {
+	if total <= keeper.SmallFleet {
 		return nil
 	}
 	same := append(f.domainMates(), known{host: f.opts.Self})
--- a/router/keeper/keeper.go
+++ b/router/keeper/keeper.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// Group is how many hosts a fleet may have in which each takes its own slices.
-	Group = 8
+	// SmallFleet is how many hosts a fleet may have in which each takes its own slices.
+	SmallFleet = 8
 	// hostsPerKeeper is how many hosts' requests one keeper bears. A loan costs it some
 	// 0.2 ms of a core, and a host asks for 3 to 4 a second: 12 hosts take under 1% of a core.
 	hostsPerKeeper = 12
@@ -30,7 +30,7 @@
 
 // Count is how many keepers an organisation has that has a part (0 to 1) of all tokens.
 func Count(hosts int, part float64) int {
-	if hosts <= Group {
+	if hosts <= SmallFleet {
 		return hosts
 	}
 	return min(max(int(math.Ceil(part*float64(hosts)/hostsPerKeeper)), 1), hosts)
--- a/router/keeper/keeper_test.go
+++ b/router/keeper/keeper_test.go
@@ -26,8 +26,8 @@
 // keeper bears the requests of some twelve hosts.
 func TestCountGrowsWithThePart(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Count(Group, 0.01), Group) // a small fleet: all
-	is.Equal(Count(Group+1, 0), 1)
+	is.Equal(Count(SmallFleet, 0.01), SmallFleet) // a small fleet: all
+	is.Equal(Count(SmallFleet+1, 0), 1)
 	is.Equal(Count(295, 0.01), 1)
 	is.Equal(Count(295, 0.2), 5)
 	is.Equal(Count(295, 1), 25)
