--- a/router/fleet/elect.go
+++ b/router/fleet/elect.go
@@ -27,7 +27,7 @@
 	if time.Since(f.started) < settleTime || time.Since(f.announced) > lapseTime || time.Since(f.changed) > lapseTime {
 		return hosts, false
 	}
-	return hosts, keeper.Is(duty, f.opts.Self.Name, others, hosts)
+	return hosts, keeper.IsKeeper(duty, f.opts.Self.Name, others, hosts)
 }
 
 // Resumed tells that this host was suspended, unnoticed by its clock: others may have
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -23,7 +23,7 @@
 	defer f.mu.Unlock()
 	others := f.others()
 	count = keeper.Count(len(others)+1, f.parts[organisation])
-	return count, keeper.Is(organisation, f.opts.Self.Name, others, count)
+	return count, keeper.IsKeeper(organisation, f.opts.Self.Name, others, count)
 }
 
 // First says whether this host is the one of all that has a duty.
--- a/router/keeper/keeper.go
+++ b/router/keeper/keeper.go
@@ -36,8 +36,8 @@
 	return min(max(int(math.Ceil(part*float64(hosts)/hostsPerKeeper)), 1), hosts)
 }
 
-// Is says whether the host self is a keeper among all hosts; others are their names.
-func Is(organisation, self string, others []string, count int) bool {
+// IsKeeper says whether the host self is a keeper among all hosts; others are their names.
+func IsKeeper(organisation, self string, others []string, count int) bool {
 	key := rendezvous.NewKey(organisation)
 	own := key.Score(self)
 	above := 0
--- a/router/keeper/keeper_test.go
+++ b/router/keeper/keeper_test.go
@@ -44,7 +44,7 @@
 	var keepers []string
 	for _, self := range all {
 		others := without(all, self)
-		if Is("org", self, others, count) {
+		if IsKeeper("org", self, others, count) {
 			keepers = append(keepers, self)
 			continue
 		}
