--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -36,7 +36,7 @@
 		q.begun = true
 	}
 	if res == delivered && c.events > 0 {
-		q.handler.opts.Meter.Note(q.service, c.first.Sub(c.started), c.last.Sub(c.first), c.events)
+		q.handler.opts.Meter.Observe(q.service, c.first.Sub(c.started), c.last.Sub(c.first), c.events)
 		return
 	}
 	if most := c.mostUnseen(time.Now()); most > 0 {
--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -38,7 +38,7 @@
 // knowPace makes the meter know that pace.
 func (b *bench) knowPace() {
 	for range 30 {
-		b.meter.Note("engine", firstEvent, 10*eventGap, 11)
+		b.meter.Observe("engine", firstEvent, 10*eventGap, 11)
 	}
 }
 
@@ -103,7 +103,7 @@
 	b := newBench(t)
 	b.fund()
 	for range 30 {
-		b.meter.Note("engine", time.Minute, 2*time.Second, 11)
+		b.meter.Observe("engine", time.Minute, 2*time.Second, 11)
 	}
 	b.add("e1", "engine", backend.Behaviour{Status: 500, Body: "no"})
 	b.do(b.ask("/once/x"))
--- a/router/metering/metering.go
+++ b/router/metering/metering.go
@@ -37,9 +37,9 @@
 // New makes a meter that has seen nothing.
 func New() *Meter { return &Meter{paces: map[string]pace{}} }
 
-// Note takes in a stream that came whole: the time to its first event, that from its
+// Observe takes in a stream that came whole: the time to its first event, that from its
 // first to its last, and how many there were.
-func (m *Meter) Note(service string, first, rest time.Duration, events int) {
+func (m *Meter) Observe(service string, first, rest time.Duration, events int) {
 	if events < leastEvents || first <= 0 || rest <= 0 {
 		return
 	}
--- a/router/metering/metering_test.go
+++ b/router/metering/metering_test.go
@@ -14,14 +14,14 @@
 	is := is.New(t)
 	m := New()
 	for range leastStreams - 1 {
-		m.Note("s", 100*ms, 200*ms, 11)
+		m.Observe("s", 100*ms, 200*ms, 11)
 	}
 	_, known := m.Unseen("s", ms, 0)
 	is.True(!known)
-	m.Note("s", 100*ms, 200*ms, 2) // too short to tell
+	m.Observe("s", 100*ms, 200*ms, 2) // too short to tell
 	_, known = m.Unseen("s", ms, 0)
 	is.True(!known)
-	m.Note("s", 100*ms, 200*ms, 11)
+	m.Observe("s", 100*ms, 200*ms, 11)
 	events, known := m.Unseen("s", 40*ms, 0)
 	is.True(known)
 	is.Equal(events, 0) // not even the first event can have been made
@@ -44,7 +44,7 @@
 		for range leastStreams + rapid.IntRange(0, 10).Draw(t, "streams") {
 			f := time.Duration(rapid.IntRange(1, 500).Draw(t, "first")) * ms
 			g := time.Duration(rapid.IntRange(2, 50).Draw(t, "gap")) * ms
-			m.Note("s", f, 10*g, 11)
+			m.Observe("s", f, 10*g, 11)
 			first, gap = min(first, f), min(gap, g)
 		}
 		elapsed := time.Duration(rapid.IntRange(0, 5000).Draw(t, "elapsed")) * ms
