--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -48,7 +48,7 @@
 // mostUnseen bounds the tokens that the target may have made and that did not come.
 func (c *call) mostUnseen(now time.Time) int64 {
 	q := c.request
-	events, known := q.handler.opts.Meter.Unseen(q.service, now.Sub(c.started), c.events)
+	events, known := q.handler.opts.Meter.MaxUndelivered(q.service, now.Sub(c.started), c.events)
 	if !known || q.engine.Stride <= 0 {
 		return q.usage.out
 	}
--- a/router/metering/metering.go
+++ b/router/metering/metering.go
@@ -55,10 +55,10 @@
 	m.paces[service] = p
 }
 
-// Unseen bounds the events that a target made beyond those that came, elapsed after the
+// MaxUndelivered bounds the events that a target made beyond those that came, elapsed after the
 // request was sent. known is false while too few streams were seen to tell, and for a
 // stream of which more came than the pace that is believed in allows.
-func (m *Meter) Unseen(service string, elapsed time.Duration, came int) (events int, known bool) {
+func (m *Meter) MaxUndelivered(service string, elapsed time.Duration, came int) (events int, known bool) {
 	m.mu.Lock()
 	p := m.paces[service]
 	m.mu.Unlock()
--- a/router/metering/metering_test.go
+++ b/router/metering/metering_test.go
@@ -16,22 +16,22 @@
 	for range leastStreams - 1 {
 		m.Observe("s", 100*ms, 200*ms, 11)
 	}
-	_, known := m.Unseen("s", ms, 0)
+	_, known := m.MaxUndelivered("s", ms, 0)
 	is.True(!known)
 	m.Observe("s", 100*ms, 200*ms, 2) // too short to tell
-	_, known = m.Unseen("s", ms, 0)
+	_, known = m.MaxUndelivered("s", ms, 0)
 	is.True(!known)
 	m.Observe("s", 100*ms, 200*ms, 11)
-	events, known := m.Unseen("s", 40*ms, 0)
+	events, known := m.MaxUndelivered("s", 40*ms, 0)
 	is.True(known)
 	is.Equal(events, 0) // not even the first event can have been made
-	events, _ = m.Unseen("s", 50*ms, 0)
+	events, _ = m.MaxUndelivered("s", 50*ms, 0)
 	is.Equal(events, 1)
-	events, _ = m.Unseen("s", 105*ms, 2) // the first after 50 ms, then one each 10 ms
+	events, _ = m.MaxUndelivered("s", 105*ms, 2) // the first after 50 ms, then one each 10 ms
 	is.Equal(events, 4)
-	_, known = m.Unseen("s", 105*ms, 9) // more came than such a target makes
+	_, known = m.MaxUndelivered("s", 105*ms, 9) // more came than such a target makes
 	is.True(!known)
-	_, known = m.Unseen("other", ms, 0)
+	_, known = m.MaxUndelivered("other", ms, 0)
 	is.True(!known)
 }
 
@@ -53,7 +53,7 @@
 			made++
 		}
 		came := rapid.IntRange(0, made).Draw(t, "came") // the others are late or lost
-		events, known := m.Unseen("s", elapsed, came)
+		events, known := m.MaxUndelivered("s", elapsed, came)
 		if !known || came+events < made {
 			t.Fatalf("%d events, %d came and %d more are charged (known %v)", made, came, events, known)
 		}
