--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -44,7 +44,7 @@
 	Targets  *target.Registry
 	Budgets  Budgets
 	Retries  *retrybudget.Set
-	Meter    *metering.Meter
+	Meter    *metering.Estimator
 	Overload *overload.Monitor
 	// Quarantine is told how tries ended and asked before each.
 	Quarantine Quarantine
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -136,7 +136,7 @@
 	targets  *target.Registry
 	budgets  *fakeBudgets
 	recorder *recorder
-	meter    *metering.Meter
+	meter    *metering.Estimator
 	overload *overload.Monitor
 	unread   *unread.Book
 	guard    *quarantine.Guard
--- a/router/metering/metering.go
+++ b/router/metering/metering.go
@@ -28,18 +28,18 @@
 	streams int
 }
 
-// Meter knows the pace of each service.
-type Meter struct {
+// Estimator knows the pace of each service.
+type Estimator struct {
 	mu    sync.Mutex
 	paces map[string]pace
 }
 
 // New makes a meter that has seen nothing.
-func New() *Meter { return &Meter{paces: map[string]pace{}} }
+func New() *Estimator { return &Estimator{paces: map[string]pace{}} }
 
 // Observe takes in a stream that came whole: the time to its first event, that from its
 // first to its last, and how many there were.
-func (m *Meter) Observe(service string, first, rest time.Duration, events int) {
+func (m *Estimator) Observe(service string, first, rest time.Duration, events int) {
 	if events < leastEvents || first <= 0 || rest <= 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 // MaxUndelivered bounds the events that a target made beyond those that came, elapsed after the
 // request was sent. known is false while too few streams were seen to tell, and for a
 // stream of which more came than the pace that is believed in allows.
-func (m *Meter) MaxUndelivered(service string, elapsed time.Duration, came int) (events int, known bool) {
+func (m *Estimator) MaxUndelivered(service string, elapsed time.Duration, came int) (events int, known bool) {
 	m.mu.Lock()
 	p := m.paces[service]
 	m.mu.Unlock()
