--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"maststage.dev/router/metering"
 	"maststage.dev/router/overload"
 	"maststage.dev/router/prepaid"
 	"maststage.dev/router/quarantine"
 	"maststage.dev/router/retrybudget"
 	"maststage.dev/router/routing"
+	"maststage.dev/router/streampace"
 	"maststage.dev/router/target"
 	"maststage.dev/router/unread"
 )
@@ -44,7 +44,7 @@
 	Targets  *target.Registry
 	Budgets  Budgets
 	Retries  *retrybudget.Set
-	Meter    *metering.Estimator
+	Meter    *streampace.Estimator
 	Overload *overload.Monitor
 	// Quarantine is told how tries ended and asked before each.
 	Quarantine Quarantine
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -17,12 +17,12 @@
 	log "github.com/sirupsen/logrus"
 
 	"maststage.dev/router/eventlog"
-	"maststage.dev/router/metering"
 	"maststage.dev/router/overload"
 	"maststage.dev/router/prepaid"
 	"maststage.dev/router/quarantine"
 	"maststage.dev/router/retrybudget"
 	"maststage.dev/router/routing"
+	"maststage.dev/router/streampace"
 	"maststage.dev/router/target"
 	"maststage.dev/router/unread"
 	"maststage.dev/standin/backend"
@@ -136,7 +136,7 @@
 	targets  *target.Registry
 	budgets  *fakeBudgets
 	recorder *recorder
-	meter    *metering.Estimator
+	meter    *streampace.Estimator
 	overload *overload.Monitor
 	unread   *unread.Book
 	guard    *quarantine.Guard
@@ -158,7 +158,7 @@
  "organisations":[{"name":"org","keys":["k1","k2"],"priority":1}]}`
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, is: is.New(t), recorder: &recorder{}, meter: metering.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
+	b := &bench{t: t, is: is.New(t), recorder: &recorder{}, meter: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
 	b.takes.Store(true)
 	b.targets = target.NewRegistry(target.Options{
 		Domain: "z1", DrainWithin: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -19,7 +19,6 @@
 	"maststage.dev/router/forward"
 	"maststage.dev/router/logcount"
 	"maststage.dev/router/logging"
-	"maststage.dev/router/metering"
 	"maststage.dev/router/observe"
 	"maststage.dev/router/overload"
 	"maststage.dev/router/prepaid"
@@ -29,6 +28,7 @@
 	"maststage.dev/router/rollout"
 	"maststage.dev/router/routing"
 	"maststage.dev/router/settings"
+	"maststage.dev/router/streampace"
 	"maststage.dev/router/suspend"
 	"maststage.dev/router/target"
 	"maststage.dev/router/unread"
@@ -140,7 +140,7 @@
 	n.unread = unread.New(int64(cfg.Callers.UnreadBytes), func() { n.observer.Count("callers_cut_total") })
 	n.handler = forward.New(forward.Options{
 		Names: outside.Headers, Targets: n.targets, Budgets: n.treasury, Retries: n.retries,
-		Meter: metering.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
+		Meter: streampace.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
 		Observer: n.observer, Leaving: n.leaving, Takes: n.admits, Lost: n.lost, Rollouts: n.rollouts,
 	})
 	n.watch = suspend.New(clocks, n.resumed)
--- a/router/metering/metering.go
+++ b/router/streampace/streampace.go
@@ -2,7 +2,7 @@
 // off before they came. A target makes events one after the other, so the time since the
 // request was sent bounds them, by the pace of the fastest streams that were seen. When
 // the events came does not count: they may be held up on their way.
-package metering
+package streampace
 
 import (
 	"sync"
--- a/router/metering/metering_test.go
+++ b/router/streampace/streampace_test.go
@@ -1,4 +1,4 @@
-package metering
+package streampace
 
 import (
 	"testing"
