--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -51,15 +51,15 @@
 	Whole  bool   `json:"whole,omitempty"` // these are all records that there are
 }
 
-func newTopicPart(changed replica.Part) (topicPart, error) {
+func newTopicPart(changed replica.Update) (topicPart, error) {
 	packed, err := recordpack.Pack(changed.Records)
 	return topicPart{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Whole: changed.Whole}, err
 }
 
 // part turns a part of an answer into that of a copy.
-func (p topicPart) part() (replica.Part, error) {
+func (p topicPart) part() (replica.Update, error) {
 	records, err := recordpack.Unpack(p.Packed)
-	return replica.Part{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Whole: p.Whole}, err
+	return replica.Update{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Whole: p.Whole}, err
 }
 
 type lendRequest struct {
--- a/router/fleet/relay.go
+++ b/router/fleet/relay.go
@@ -23,7 +23,7 @@
 
 // Relay asks a reader of a topic in this host's failure domain for what changed from
 // an offset on. ok is false if this host is a reader itself, or none has a fresh answer.
-func (f *Fleet) Relay(ctx context.Context, topic string, from int64) (part replica.Part, ok bool) {
+func (f *Fleet) Relay(ctx context.Context, topic string, from int64) (part replica.Update, ok bool) {
 	readers := f.readers(topic)
 	for _, address := range readers[:min(len(readers), relayAsked)] {
 		ask := pullRequest{From: map[string]int64{topic: from}}
@@ -45,7 +45,7 @@
 			return part, true
 		}
 	}
-	return replica.Part{}, false
+	return replica.Update{}, false
 }
 
 // readers lists the addresses of the hosts that read a topic for this one, in another
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -179,7 +179,7 @@
 		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.TargetsTopic}, LongPoll: poll, Slack: slack, Pace: pace,
 		OnChange:  n.targetsChanged,
 		OnContact: func(err error) { n.contact(n.outside.TargetsTopic, err) },
-		Relay: func(ctx context.Context, from int64) (replica.Part, bool) {
+		Relay: func(ctx context.Context, from int64) (replica.Update, bool) {
 			return n.fleet.Relay(ctx, n.outside.TargetsTopic, from)
 		},
 		Meaning: n.targetMeaning,
--- a/router/replica/merge.go
+++ b/router/replica/merge.go
@@ -3,7 +3,7 @@
 import "maststage.dev/router/eventlog"
 
 // MergePart takes over what another host's copy tells.
-func (r *Replica) MergePart(part Part) {
+func (r *Replica) MergePart(part Update) {
 	if !part.Whole {
 		r.MergeNewest(part.Records, part.End)
 		return
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -25,8 +25,8 @@
 	Gap bool
 }
 
-// Part is the newest records of keys that changed from some offset on.
-type Part struct {
+// Update is the newest records of keys that changed from some offset on.
+type Update struct {
 	Records []eventlog.Record
 	End     int64         // all records below are known
 	Age     time.Duration // since the log told of them
@@ -47,7 +47,7 @@
 	Pace time.Duration
 	// Relay asks another host for what changed from an offset on; ok is false if none
 	// can tell. The log is read then. nil: never.
-	Relay func(ctx context.Context, from int64) (part Part, ok bool)
+	Relay func(ctx context.Context, from int64) (part Update, ok bool)
 	// Hosts counts the hosts that copy the same: the more there are, the longer the pauses after
 	// calls that failed, so that all together don't keep the log from coming back. nil: few.
 	Hosts func() int
@@ -315,10 +315,10 @@
 
 // Since gives the records that changed from an offset on, for another host. ok is
 // false if the copy may have forgotten some of them.
-func (r *Replica) Since(offset int64) (part Part, ok bool) {
+func (r *Replica) Since(offset int64) (part Update, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	part = Part{End: r.end, Age: time.Since(r.contact)}
+	part = Update{End: r.end, Age: time.Since(r.contact)}
 	for _, k := range r.records {
 		if k.changed >= offset {
 			part.Records = append(part.Records, k.Record)
@@ -329,7 +329,7 @@
 
 // PartFrom gives what another host lacks that knows all records below an offset: what changed
 // since, or all records if this copy may have forgotten some of the changes.
-func (r *Replica) PartFrom(offset int64) Part {
+func (r *Replica) PartFrom(offset int64) Update {
 	if part, ok := r.Since(offset); ok {
 		return part
 	}
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -213,10 +213,10 @@
 	relay := true
 	r := New(Options{
 		Log: l.Host("h"), Partition: part, Slack: time.Second,
-		Relay: func(_ context.Context, from int64) (Part, bool) {
+		Relay: func(_ context.Context, from int64) (Update, bool) {
 			is.Equal(from, int64(1))
 			records := []eventlog.Record{{Key: "k", Value: []byte("2"), Offset: 1}}
-			return Part{Records: records, End: 2, Age: time.Minute}, relay
+			return Update{Records: records, End: 2, Age: time.Minute}, relay
 		},
 	})
 	ctx := context.Background()
@@ -231,7 +231,7 @@
 	is.Equal(r.End(), int64(2))
 	is.Equal(string(r.records["k"].Value), "2")
 
-	r.opts.Relay = func(context.Context, int64) (Part, bool) { return Part{}, false }
+	r.opts.Relay = func(context.Context, int64) (Update, bool) { return Update{}, false }
 	l.Put(part, "k", []byte("2"))
 	l.Put(part, "k", []byte("3"))
 	_, err = r.step(ctx)
