--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -53,13 +53,13 @@
 
 func newTopicPart(changed replica.Update) (topicPart, error) {
 	packed, err := recordpack.Pack(changed.Records)
-	return topicPart{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Whole: changed.Whole}, err
+	return topicPart{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Whole: changed.Full}, err
 }
 
 // part turns a part of an answer into that of a copy.
 func (p topicPart) part() (replica.Update, error) {
 	records, err := recordpack.Unpack(p.Packed)
-	return replica.Update{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Whole: p.Whole}, err
+	return replica.Update{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Full: p.Whole}, err
 }
 
 type lendRequest struct {
--- a/router/replica/merge.go
+++ b/router/replica/merge.go
@@ -4,7 +4,7 @@
 
 // MergePart takes over what another host's copy tells.
 func (r *Replica) MergePart(part Update) {
-	if !part.Whole {
+	if !part.Full {
 		r.MergeNewest(part.Records, part.End)
 		return
 	}
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -30,9 +30,9 @@
 	Records []eventlog.Record
 	End     int64         // all records below are known
 	Age     time.Duration // since the log told of them
-	// Whole says that these are all records that there are: what is not among them was
+	// Full says that these are all records that there are: what is not among them was
 	// deleted.
-	Whole bool
+	Full bool
 }
 
 // Options configure a Replica.
@@ -334,6 +334,6 @@
 		return part
 	}
 	part, _ := r.Since(0)
-	part.Whole = true
+	part.Full = true
 	return part
 }
