--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -188,7 +188,7 @@
 		log.WithFields(log.Fields{
 			"peer": address, "topic": topic, "records": len(part.Records), "end": part.End, "bytes": len(answer.Packed),
 		}).Info("pulled from another host")
-		f.opts.Copies[topic].MergePart(part)
+		f.opts.Copies[topic].MergeUpdate(part)
 	}
 	return nil
 }
--- a/router/replica/merge.go
+++ b/router/replica/merge.go
@@ -2,8 +2,8 @@
 
 import "maststage.dev/router/eventlog"
 
-// MergePart takes over what another host's copy tells.
-func (r *Replica) MergePart(part Update) {
+// MergeUpdate takes over what another host's copy tells.
+func (r *Replica) MergeUpdate(part Update) {
 	if !part.Full {
 		r.MergeNewest(part.Records, part.End)
 		return
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -191,7 +191,7 @@
 	}
 	if r.opts.Relay != nil {
 		if part, ok := r.opts.Relay(ctx, from); ok {
-			r.MergePart(part)
+			r.MergeUpdate(part)
 			return part.Age, nil
 		}
 	}
