--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -161,7 +161,7 @@
 
 // write appends a copy of a topic, without its deleted keys.
 func (a *Archive) write(ctx context.Context, topic string, c *replica.Replica) error {
-	part, _ := c.Since(0)
+	part, _ := c.UpdateSince(0)
 	var alive []eventlog.Record
 	for _, r := range part.Records {
 		if len(r.Value) > 0 {
--- a/router/archive/archive_test.go
+++ b/router/archive/archive_test.go
@@ -71,7 +71,7 @@
 	c, stop := start(t, l, "h2", false)
 	defer stop()
 	until.True(t, "the copy is taken", c.Loaded)
-	part, _ := c.Since(0)
+	part, _ := c.UpdateSince(0)
 	is.Equal(len(part.Records), 1)
 	is.Equal(part.Records[0].Key, "a")
 	is.Equal(part.End, int64(3))
@@ -129,7 +129,7 @@
 	c, stop := startLimited(t, l, "h2", false, 1<<18)
 	defer stop()
 	until.True(t, "the copy is taken", c.Loaded)
-	part, _ := c.Since(0)
+	part, _ := c.UpdateSince(0)
 	is.Equal(string(part.Records[0].Value), string(want))
 	is.Equal(part.End, int64(1))
 }
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -313,9 +313,9 @@
 // may take.
 const staleMargin = 300 * time.Millisecond
 
-// Since gives the records that changed from an offset on, for another host. ok is
+// UpdateSince gives the records that changed from an offset on, for another host. ok is
 // false if the copy may have forgotten some of them.
-func (r *Replica) Since(offset int64) (part Update, ok bool) {
+func (r *Replica) UpdateSince(offset int64) (part Update, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	part = Update{End: r.end, Age: time.Since(r.contact)}
@@ -330,10 +330,10 @@
 // PartFrom gives what another host lacks that knows all records below an offset: what changed
 // since, or all records if this copy may have forgotten some of the changes.
 func (r *Replica) PartFrom(offset int64) Update {
-	if part, ok := r.Since(offset); ok {
+	if part, ok := r.UpdateSince(offset); ok {
 		return part
 	}
-	part, _ := r.Since(0)
+	part, _ := r.UpdateSince(0)
 	part.Full = true
 	return part
 }
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -148,7 +148,7 @@
 	l.Put(part, "a", []byte("2"))
 	l.Put(part, "dead", nil)
 	until.True(t, "the newest record", func() bool { return good.value("a") == "2" && good.End() == 4 })
-	newer, ok := good.Since(cut.End())
+	newer, ok := good.UpdateSince(cut.End())
 	is.True(ok)
 	cut.MergeNewest(newer.Records, newer.End)
 	is.Equal(cut.value("a"), "2")
@@ -193,7 +193,7 @@
 	put(3, "b4")
 	is.Equal(told, []string{"a1", "b3"})
 	since := func(offset int64) int {
-		part, _ := r.Since(offset)
+		part, _ := r.UpdateSince(offset)
 		is.Equal(part.End, int64(4))
 		return len(part.Records)
 	}
@@ -287,7 +287,7 @@
 	is := is.New(t)
 	r := New(Options{})
 	r.noteContact(time.Minute, nil)
-	part, _ := r.Since(0)
+	part, _ := r.UpdateSince(0)
 	is.True(part.Age >= time.Minute)
 	is.True(r.Stale(time.Now()))
 }
@@ -321,7 +321,7 @@
 		is.NoErr(err)
 	}
 	is.Equal(short.sent.Load(), int64(1))
-	known, _ := r.Since(0)
+	known, _ := r.UpdateSince(0)
 	is.Equal(string(known.Records[0].Value), "99")
 
 	// It follows the log again.
@@ -339,11 +339,11 @@
 	for i := range int64(maxTombstones + 1) {
 		r.Merge([]eventlog.Record{{Key: fmt.Sprint(i), Offset: i}}, i+1, i)
 	}
-	_, ok := r.Since(1)
+	_, ok := r.UpdateSince(1)
 	is.True(!ok)
-	_, ok = r.Since(0)
+	_, ok = r.UpdateSince(0)
 	is.True(ok) // who has nothing misses no deleted key
-	_, ok = r.Since(r.End())
+	_, ok = r.UpdateSince(r.End())
 	is.True(ok)
 }
 
@@ -356,7 +356,7 @@
 	l.Put(part, "kept", []byte("1"))
 	other := follow(t, l, "other")
 	until.True(t, "the other copy has both", func() bool { return other.End() == 2 })
-	old, ok := other.Since(0)
+	old, ok := other.UpdateSince(0)
 	is.True(ok)
 	l.Put(part, "gone", nil)
 	f := follow(t, l, "f")
@@ -384,7 +384,7 @@
 	l.Put(part, "gone", nil)
 	fresh := follow(t, l, "fresh")
 	until.True(t, "the fresh copy is read", func() bool { return fresh.End() == 4 })
-	_, ok := fresh.Since(2)
+	_, ok := fresh.UpdateSince(2)
 	is.True(!ok)
 	older.MergeUpdate(fresh.PartFrom(2))
 	is.Equal(older.End(), int64(4))
