--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -201,7 +201,7 @@
 			answer.Topics[topic] = topicPart{End: c.End()}
 			continue
 		}
-		part, err := newTopicPart(c.PartFrom(from))
+		part, err := newTopicPart(c.CatchUpFrom(from))
 		if err != nil {
 			log.WithField("topic", topic).WithError(err).Error("records can't be packed for another host")
 			continue
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -327,9 +327,9 @@
 	return part, offset == 0 || offset >= r.dropped
 }
 
-// PartFrom gives what another host lacks that knows all records below an offset: what changed
+// CatchUpFrom gives what another host lacks that knows all records below an offset: what changed
 // since, or all records if this copy may have forgotten some of the changes.
-func (r *Replica) PartFrom(offset int64) Update {
+func (r *Replica) CatchUpFrom(offset int64) Update {
 	if part, ok := r.UpdateSince(offset); ok {
 		return part
 	}
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -386,7 +386,7 @@
 	until.True(t, "the fresh copy is read", func() bool { return fresh.End() == 4 })
 	_, ok := fresh.UpdateSince(2)
 	is.True(!ok)
-	older.MergeUpdate(fresh.PartFrom(2))
+	older.MergeUpdate(fresh.CatchUpFrom(2))
 	is.Equal(older.End(), int64(4))
 	older.mu.Lock()
 	defer older.mu.Unlock()
