--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -62,7 +62,7 @@
 
 // ordersKnown says whether this host knows the orders that were given until a moment.
 func (r *rollouts) ordersKnown(t time.Time) bool {
-	return r.node.outside.DecodeOrder == nil || r.node.configCopy.AskedSince(t) || r.node.fleet.PulledSince(t)
+	return r.node.outside.DecodeOrder == nil || r.node.configCopy.RefreshedSince(t) || r.node.fleet.PulledSince(t)
 }
 
 // Rule implements forward.Rollouts.
--- a/router/node/suspend.go
+++ b/router/node/suspend.go
@@ -68,7 +68,7 @@
 		return true
 	}
 	for _, c := range n.followed() {
-		if !c.AskedSince(t) {
+		if !c.RefreshedSince(t) {
 			return false
 		}
 	}
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// AskedSince says whether a question that was asked after a moment has been answered.
-func (r *Replica) AskedSince(t time.Time) bool {
+// RefreshedSince says whether a question that was asked after a moment has been answered.
+func (r *Replica) RefreshedSince(t time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.asked.After(t)
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -416,6 +416,6 @@
 	time.Sleep(50 * time.Millisecond) // it rests
 	began := time.Now()
 	r.Refresh()
-	until.True(t, "it has asked again", func() bool { return r.AskedSince(began) })
+	until.True(t, "it has asked again", func() bool { return r.RefreshedSince(began) })
 	is.True(time.Since(began) < time.Second)
 }
