--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -33,7 +33,7 @@
 
 // followed is a host's copy of the configuration, kept up until the test ends.
 func followed(t *testing.T, l *memlog.Log, host string) *replica.Replica {
-	c := replica.New(replica.Options{Log: l.Host(host), Partition: configs, LongPoll: time.Second, Slack: time.Second})
+	c := replica.New(replica.Options{Log: l.Host(host), Partition: configs, LongPoll: time.Second, ReadTimeout: time.Second})
 	untilEnd(t, c.Run)
 	return c
 }
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -53,7 +53,7 @@
 	r.gate = rollout.NewGate(n.cfg.Host.Name+"/"+incarnation, r.ordersKnown)
 	r.states = replica.New(replica.Options{
 		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.StatusTopic},
-		LongPoll: settings.Milliseconds(n.cfg.Log.LongPollMs), Slack: settings.Milliseconds(n.cfg.Log.TimeoutMs),
+		LongPoll: settings.Milliseconds(n.cfg.Log.LongPollMs), ReadTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		OnChange:  r.statesChanged,
 		OnContact: func(err error) { n.contact(n.outside.StatusTopic, err) },
 	})
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -41,8 +41,8 @@
 	Partition eventlog.Partition
 	// LongPoll is how long a read waits at the log.
 	LongPoll time.Duration
-	// Slack is how long an answer may take beyond the wait.
-	Slack time.Duration
+	// ReadTimeout is how long an answer may take beyond the wait.
+	ReadTimeout time.Duration
 	// Pace is the least time between two reads.
 	Pace time.Duration
 	// Relay asks another host for what changed from an offset on; ok is false if none
@@ -200,7 +200,7 @@
 
 // poll waits for records at the log.
 func (r *Replica) poll(ctx context.Context, from int64) error {
-	c, cancel := patience.New(ctx, patience.Limits{First: r.opts.LongPoll + r.opts.Slack, Silence: r.opts.Slack, Most: longestRead})
+	c, cancel := patience.New(ctx, patience.Limits{First: r.opts.LongPoll + r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: longestRead})
 	defer cancel()
 	batch, err := r.opts.Log.Read(c, r.opts.Partition, from, r.opts.LongPoll)
 	if errors.Is(err, eventlog.ErrTrimmed) {
@@ -236,7 +236,7 @@
 		*p = partialLoad{began: time.Now()}
 	}
 	for {
-		c, cancel := patience.New(ctx, patience.Limits{First: 2 * r.opts.Slack, Silence: r.opts.Slack, Most: longestRead})
+		c, cancel := patience.New(ctx, patience.Limits{First: 2 * r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: longestRead})
 		page, err := r.opts.Log.Newest(c, r.opts.Partition, p.after)
 		cancel()
 		if err != nil {
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -32,7 +32,7 @@
 	log.SetOutput(io.Discard)
 	f := &follower{}
 	f.Replica = New(Options{
-		Log: l.Host(host), Partition: part, LongPoll: 50 * time.Millisecond, Slack: 100 * time.Millisecond,
+		Log: l.Host(host), Partition: part, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond,
 		OnChange: func(c []Change) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -212,7 +212,7 @@
 	l.Put(part, "k", []byte("1"))
 	relay := true
 	r := New(Options{
-		Log: l.Host("h"), Partition: part, Slack: time.Second,
+		Log: l.Host("h"), Partition: part, ReadTimeout: time.Second,
 		Relay: func(_ context.Context, from int64) (Update, bool) {
 			is.Equal(from, int64(1))
 			records := []eventlog.Record{{Key: "k", Value: []byte("2"), Offset: 1}}
@@ -264,7 +264,7 @@
 func TestLoadGoesOnAfterARefusedPage(t *testing.T) {
 	is := is.New(t)
 	l := &busyPages{pages: 20}
-	r := New(Options{Log: l, Partition: part, Slack: time.Second})
+	r := New(Options{Log: l, Partition: part, ReadTimeout: time.Second})
 	for tries := 0; !r.Loaded() && tries < 15; tries++ {
 		_, _ = r.step(t.Context())
 	}
@@ -311,7 +311,7 @@
 	l := memlog.New()
 	l.Put(part, "a", []byte("0"))
 	short := &shortAnswers{Log: l.Host("h")}
-	r := New(Options{Log: short, Partition: part, LongPoll: 50 * time.Millisecond, Slack: 100 * time.Millisecond})
+	r := New(Options{Log: short, Partition: part, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond})
 	is.NoErr(r.load(t.Context()))
 	for i := range 100 {
 		l.Put(part, "a", []byte(fmt.Sprint(i)))
@@ -401,7 +401,7 @@
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(part, "k", []byte("1"))
-	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, Slack: 100 * time.Millisecond, Pace: time.Minute})
+	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, Pace: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
