--- a/router/node/node.go
+++ b/router/node/node.go
@@ -167,7 +167,7 @@
 	poll, slack := settings.Milliseconds(n.cfg.Log.LongPollMs), settings.Milliseconds(n.cfg.Log.TimeoutMs)
 	copyOf := func(topic string, pace time.Duration, onChange func([]replica.Change)) *replica.Replica {
 		return replica.New(replica.Options{
-			Log: n.outside.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: poll, ReadTimeout: slack, Pace: pace,
+			Log: n.outside.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
 			OnChange:  onChange,
 			OnContact: func(err error) { n.contact(topic, err) },
 			Hosts:     n.hostCount,
@@ -176,7 +176,7 @@
 	pace := settings.Milliseconds(n.cfg.Log.PaceMs)
 	n.configCopy = copyOf(n.outside.ConfigTopic, 0, n.configChanged)
 	n.targetsCopy = replica.New(replica.Options{
-		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.TargetsTopic}, LongPoll: poll, ReadTimeout: slack, Pace: pace,
+		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.TargetsTopic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
 		OnChange:  n.targetsChanged,
 		OnContact: func(err error) { n.contact(n.outside.TargetsTopic, err) },
 		Relay: func(ctx context.Context, from int64) (replica.Update, bool) {
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -43,8 +43,8 @@
 	LongPoll time.Duration
 	// ReadTimeout is how long an answer may take beyond the wait.
 	ReadTimeout time.Duration
-	// Pace is the least time between two reads.
-	Pace time.Duration
+	// MinInterval is the least time between two reads.
+	MinInterval time.Duration
 	// Relay asks another host for what changed from an offset on; ok is false if none
 	// can tell. The log is read then. nil: never.
 	Relay func(ctx context.Context, from int64) (part Update, ok bool)
@@ -115,7 +115,7 @@
 		}
 		r.noteContact(age, err)
 		r.noteAsked(started.Add(-age), err)
-		pause := r.opts.Pace - time.Since(started)
+		pause := r.opts.MinInterval - time.Since(started)
 		if err != nil {
 			pause = wait.Jitter(backoff)
 			backoff = min(backoff*2, r.mostBackoff())
@@ -306,7 +306,7 @@
 func (r *Replica) Stale(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.contact) > r.opts.LongPoll+r.opts.Pace+staleMargin
+	return now.Sub(r.contact) > r.opts.LongPoll+r.opts.MinInterval+staleMargin
 }
 
 // staleMargin is how much longer than a long poll and the pause before it an answer
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -401,7 +401,7 @@
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(part, "k", []byte("1"))
-	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, Pace: time.Minute})
+	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, MinInterval: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
