--- a/router/node/node.go
+++ b/router/node/node.go
@@ -182,8 +182,8 @@
 		Relay: func(ctx context.Context, from int64) (replica.Update, bool) {
 			return n.fleet.Relay(ctx, n.outside.TargetsTopic, from)
 		},
-		Meaning: n.targetMeaning,
-		Hosts:   n.hostCount,
+		DedupKey: n.targetMeaning,
+		Hosts:    n.hostCount,
 	})
 	n.hostsCopy = copyOf(n.outside.HostsTopic, hostsPace, n.hostsChanged)
 }
--- a/router/replica/merge.go
+++ b/router/replica/merge.go
@@ -100,8 +100,8 @@
 			continue
 		}
 		next := known{Record: rec, changed: rec.Offset}
-		if r.opts.Meaning != nil {
-			next.meaning = r.opts.Meaning(rec)
+		if r.opts.DedupKey != nil {
+			next.meaning = r.opts.DedupKey(rec)
 		}
 		if had && next.meaning != nil && next.meaning == old.meaning {
 			next.changed = old.changed
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -51,9 +51,9 @@
 	// Hosts counts the hosts that copy the same: the more there are, the longer the pauses after
 	// calls that failed, so that all together don't keep the log from coming back. nil: few.
 	Hosts func() int
-	// Meaning gives what counts of a value, comparable. A record of the same meaning as
+	// DedupKey gives what counts of a value, comparable. A record of the same meaning as
 	// the one before is no change. nil: each record is one.
-	Meaning func(rec eventlog.Record) any
+	DedupKey func(rec eventlog.Record) any
 	// OnChange is called for the changes of one read, in order of offsets, with
 	// the replica's lock held; it must not call back or block.
 	OnChange func([]Change)
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -177,7 +177,7 @@
 				told = append(told, string(c.Record.Value))
 			}
 		},
-		Meaning: func(rec eventlog.Record) any {
+		DedupKey: func(rec eventlog.Record) any {
 			if len(rec.Value) == 0 {
 				return nil
 			}
