--- a/router/node/node.go
+++ b/router/node/node.go
@@ -168,17 +168,17 @@
 	copyOf := func(topic string, pace time.Duration, onChange func([]replica.Change)) *replica.Replica {
 		return replica.New(replica.Options{
 			Log: n.outside.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
-			OnChange:  onChange,
-			OnContact: func(err error) { n.contact(topic, err) },
-			Hosts:     n.hostCount,
+			OnChange:       onChange,
+			OnConnectivity: func(err error) { n.contact(topic, err) },
+			Hosts:          n.hostCount,
 		})
 	}
 	pace := settings.Milliseconds(n.cfg.Log.PaceMs)
 	n.configCopy = copyOf(n.outside.ConfigTopic, 0, n.configChanged)
 	n.targetsCopy = replica.New(replica.Options{
 		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.TargetsTopic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
-		OnChange:  n.targetsChanged,
-		OnContact: func(err error) { n.contact(n.outside.TargetsTopic, err) },
+		OnChange:       n.targetsChanged,
+		OnConnectivity: func(err error) { n.contact(n.outside.TargetsTopic, err) },
 		Relay: func(ctx context.Context, from int64) (replica.Update, bool) {
 			return n.fleet.Relay(ctx, n.outside.TargetsTopic, from)
 		},
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -54,8 +54,8 @@
 	r.states = replica.New(replica.Options{
 		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.StatusTopic},
 		LongPoll: settings.Milliseconds(n.cfg.Log.LongPollMs), ReadTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
-		OnChange:  r.statesChanged,
-		OnContact: func(err error) { n.contact(n.outside.StatusTopic, err) },
+		OnChange:       r.statesChanged,
+		OnConnectivity: func(err error) { n.contact(n.outside.StatusTopic, err) },
 	})
 	return r
 }
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -57,8 +57,8 @@
 	// OnChange is called for the changes of one read, in order of offsets, with
 	// the replica's lock held; it must not call back or block.
 	OnChange func([]Change)
-	// OnContact is called when the log is lost (err set) or regained (nil).
-	OnContact func(err error)
+	// OnConnectivity is called when the log is lost (err set) or regained (nil).
+	OnConnectivity func(err error)
 }
 
 // Replica is the copy. Records of deleted keys stay as tombstones.
@@ -273,8 +273,8 @@
 	changed := r.up != (err == nil) || !r.called
 	r.up, r.called = err == nil, true
 	r.mu.Unlock()
-	if changed && r.opts.OnContact != nil {
-		r.opts.OnContact(err)
+	if changed && r.opts.OnConnectivity != nil {
+		r.opts.OnConnectivity(err)
 	}
 }
 
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -38,7 +38,7 @@
 			defer f.mu.Unlock()
 			f.changes = append(f.changes, c...)
 		},
-		OnContact: func(err error) {
+		OnConnectivity: func(err error) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if err != nil {
