--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -32,13 +32,13 @@
 
 // Options configure a Fleet.
 type Options struct {
-	Self     Host
-	Log      eventlog.Log
-	Topic    string
-	Seeds    []string
-	Announce time.Duration // between announcements
-	Pull     time.Duration // between looks at whether to pull
-	Timeout  time.Duration // of a call to another host
+	Self             Host
+	Log              eventlog.Log
+	Topic            string
+	Seeds            []string
+	AnnounceInterval time.Duration // between announcements
+	Pull             time.Duration // between looks at whether to pull
+	Timeout          time.Duration // of a call to another host
 	// Copies are the copies of the log's topics that hosts pull from each other,
 	// by topic.
 	Copies map[string]*replica.Replica
@@ -199,7 +199,7 @@
 
 // announcePause is the time between two announcements. Each is read by all hosts.
 func (f *Fleet) announcePause() time.Duration {
-	return max(f.opts.Announce, min(time.Duration(f.Size())*announceForHost, mostAnnounce))
+	return max(f.opts.AnnounceInterval, min(time.Duration(f.Size())*announceForHost, mostAnnounce))
 }
 
 // untilAnnounce waits for the next announcement.
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -147,7 +147,7 @@
 func TestAnnouncementsOfALargeFleet(t *testing.T) {
 	is := is.New(t)
 	pause := func(n int) time.Duration {
-		f := New(Options{Self: Host{Name: "h0", Domain: "z0"}, Announce: 8 * time.Second})
+		f := New(Options{Self: Host{Name: "h0", Domain: "z0"}, AnnounceInterval: 8 * time.Second})
 		announced(f, hosts(n, 5)...)
 		return f.announcePause()
 	}
@@ -373,7 +373,7 @@
 	l := memlog.New()
 	f := New(Options{
 		Self: Host{Name: "self", Incarnation: "1", Address: "10.0.0.1:1", Domain: "z"}, Log: l.Host("self"), Topic: "hosts",
-		Announce: 20 * time.Millisecond, Pull: time.Hour, Timeout: time.Second,
+		AnnounceInterval: 20 * time.Millisecond, Pull: time.Hour, Timeout: time.Second,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/router/fleet/loss.go
+++ b/router/fleet/loss.go
@@ -65,5 +65,5 @@
 // mostBeats is how often a host can have announced itself that started when this one did, and
 // one time more.
 func (f *Fleet) mostBeats(now time.Time) int64 {
-	return 2 + int64(now.Sub(f.born)/(f.opts.Announce/2+1))
+	return 2 + int64(now.Sub(f.born)/(f.opts.AnnounceInterval/2+1))
 }
--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -93,8 +93,8 @@
 	c := followed(t, l, "cut")
 	f := New(Options{
 		Self: Host{Name: "cut", Incarnation: "1"}, Log: l.Host("cut"), Topic: "hosts",
-		Seeds:    []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
-		Announce: time.Hour, Pull: pull, Timeout: timeout,
+		Seeds:            []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
+		AnnounceInterval: time.Hour, Pull: pull, Timeout: timeout,
 		Copies: map[string]*replica.Replica{configs.Topic: c},
 	})
 	untilEnd(t, f.Run)
