--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -37,7 +37,7 @@
 	Topic            string
 	Seeds            []string
 	AnnounceInterval time.Duration // between announcements
-	Pull             time.Duration // between looks at whether to pull
+	PullInterval     time.Duration // between looks at whether to pull
 	Timeout          time.Duration // of a call to another host
 	// Copies are the copies of the log's topics that hosts pull from each other,
 	// by topic.
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -373,7 +373,7 @@
 	l := memlog.New()
 	f := New(Options{
 		Self: Host{Name: "self", Incarnation: "1", Address: "10.0.0.1:1", Domain: "z"}, Log: l.Host("self"), Topic: "hosts",
-		AnnounceInterval: 20 * time.Millisecond, Pull: time.Hour, Timeout: time.Second,
+		AnnounceInterval: 20 * time.Millisecond, PullInterval: time.Hour, Timeout: time.Second,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -52,7 +52,7 @@
 		if topics := p.fleet.stale(); len(topics) > 0 {
 			p.round(ctx, topics)
 		}
-		every := p.fleet.opts.Pull
+		every := p.fleet.opts.PullInterval
 		wait.For(ctx, every/2+rand.N(every))
 	}
 	p.calls.Wait()
--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -94,7 +94,7 @@
 	f := New(Options{
 		Self: Host{Name: "cut", Incarnation: "1"}, Log: l.Host("cut"), Topic: "hosts",
 		Seeds:            []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
-		AnnounceInterval: time.Hour, Pull: pull, Timeout: timeout,
+		AnnounceInterval: time.Hour, PullInterval: pull, Timeout: timeout,
 		Copies: map[string]*replica.Replica{configs.Topic: c},
 	})
 	untilEnd(t, f.Run)
