--- a/router/fleet/alllost_test.go
+++ b/router/fleet/alllost_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := New(Options{Self: beat(0, "new", 0), Timeout: time.Second, AnnounceInterval: 8 * time.Second})
+				f := New(Options{Self: beat(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
 				heard(f, c.end, c.found...)
 				time.Sleep(time.Second)
 				heard(f, c.end+10, c.then...)
@@ -74,7 +74,7 @@
 	for end, lost := range map[int64]bool{70: true, 3: false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := New(Options{Self: beat(0, "new", 0), Timeout: time.Second, AnnounceInterval: 8 * time.Second})
+			f := New(Options{Self: beat(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
 			heard(f, end, beat(0, "old", 9), beat(1, "old", 9), beat(2, "old", 9))
 			for n := range int64(10) {
 				time.Sleep(4 * time.Second) // no host announces itself more often
--- a/router/fleet/elect_test.go
+++ b/router/fleet/elect_test.go
@@ -27,7 +27,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		f := New(Options{Self: Host{Name: "a"}, Log: writeOnly{}, AnnounceInterval: 8 * time.Second, PullInterval: time.Minute, Timeout: time.Second})
+		f := New(Options{Self: Host{Name: "a"}, Log: writeOnly{}, AnnounceInterval: 8 * time.Second, PullInterval: time.Minute, CallTimeout: time.Second})
 		go f.Run(ctx)
 		var changes []replica.Change
 		for _, name := range []string{"a", "b", "c"} {
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -38,7 +38,7 @@
 	Seeds            []string
 	AnnounceInterval time.Duration // between announcements
 	PullInterval     time.Duration // between looks at whether to pull
-	Timeout          time.Duration // of a call to another host
+	CallTimeout      time.Duration // of a call to another host
 	// Copies are the copies of the log's topics that hosts pull from each other,
 	// by topic.
 	Copies map[string]*replica.Replica
@@ -107,7 +107,7 @@
 
 // New makes a fleet of this host alone; Run fills it.
 func New(opts Options) *Fleet {
-	calls := newClient(opts.Timeout)
+	calls := newClient(opts.CallTimeout)
 	return &Fleet{
 		opts: opts, calls: calls, recalls: newRecaller(calls, opts.Self.Name+"/"+opts.Self.Incarnation),
 		started: time.Now(), announced: time.Now(), changed: time.Now(), born: time.Now(), seeds: opts.Seeds, hosts: map[string]known{}, silent: map[string]time.Time{},
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	c, cancel := context.WithTimeout(ctx, f.opts.Timeout)
+	c, cancel := context.WithTimeout(ctx, f.opts.CallTimeout)
 	defer cancel()
 	began := time.Now()
 	if _, err = f.opts.Log.Append(c, f.partition(), []eventlog.Record{{Key: self.Name, Value: value}}); err != nil {
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -30,7 +30,7 @@
 }
 
 func newFleet(self Host) *Fleet {
-	return New(Options{Self: self, Timeout: time.Second})
+	return New(Options{Self: self, CallTimeout: time.Second})
 }
 
 // announced tells a fleet of hosts.
@@ -373,7 +373,7 @@
 	l := memlog.New()
 	f := New(Options{
 		Self: Host{Name: "self", Incarnation: "1", Address: "10.0.0.1:1", Domain: "z"}, Log: l.Host("self"), Topic: "hosts",
-		AnnounceInterval: 20 * time.Millisecond, PullInterval: time.Hour, Timeout: time.Second,
+		AnnounceInterval: 20 * time.Millisecond, PullInterval: time.Hour, CallTimeout: time.Second,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/router/fleet/room_test.go
+++ b/router/fleet/room_test.go
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var asked atomic.Int64
-			f := New(Options{Self: Host{Name: "a", Incarnation: "1"}, Timeout: time.Second})
+			f := New(Options{Self: Host{Name: "a", Incarnation: "1"}, CallTimeout: time.Second})
 			addresses := []string{lender(t, c.free, &asked), lender(t, c.free, &asked)}
 			loan := f.borrowFrom(context.Background(), addresses, time.Second, "org", 1_000, 0)
 			is.Equal(loan.Tokens, int64(0))
--- a/router/fleet/silent_test.go
+++ b/router/fleet/silent_test.go
@@ -19,13 +19,13 @@
 func TestSilentPeerConnectionsCostOneCall(t *testing.T) {
 	is := is.New(t)
 	lender := New(Options{
-		Self: Host{Name: "lender"}, Timeout: time.Second,
+		Self: Host{Name: "lender"}, CallTimeout: time.Second,
 		Lend: func(_ context.Context, ask prepaid.LoanRequest) prepaid.Loan { return prepaid.Loan{Tokens: ask.Tokens} },
 	})
 	server := httptest.NewServer(lender.Handler())
 	t.Cleanup(server.Close)
 	link := faultlink.Open(t, faultlink.Options{Listen: "127.0.0.1:0", To: server.Listener.Addr().String()})
-	borrower := New(Options{Self: Host{Name: "borrower"}, Timeout: time.Second, Seeds: []string{link.Address()}})
+	borrower := New(Options{Self: Host{Name: "borrower"}, CallTimeout: time.Second, Seeds: []string{link.Address()}})
 	borrow := func() int64 { return borrower.Borrow(context.Background(), "org", 10, 0).Tokens }
 	slow := link.Strike(faultlink.Fault{Delay: 10 * time.Millisecond}) // so that calls overlap
 	var all sync.WaitGroup
--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	c := followed(t, l, name)
 	f := New(Options{
-		Self: Host{Name: name, Incarnation: "1"}, Timeout: time.Second,
+		Self: Host{Name: name, Incarnation: "1"}, CallTimeout: time.Second,
 		Copies: map[string]*replica.Replica{configs.Topic: c},
 	})
 	server := httptest.NewServer(f.Handler())
@@ -94,7 +94,7 @@
 	f := New(Options{
 		Self: Host{Name: "cut", Incarnation: "1"}, Log: l.Host("cut"), Topic: "hosts",
 		Seeds:            []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
-		AnnounceInterval: time.Hour, PullInterval: pull, Timeout: timeout,
+		AnnounceInterval: time.Hour, PullInterval: pull, CallTimeout: timeout,
 		Copies: map[string]*replica.Replica{configs.Topic: c},
 	})
 	untilEnd(t, f.Run)
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -221,7 +221,7 @@
 			Name: n.cfg.Host.Name, Incarnation: incarnation, Address: n.cfg.Host.PeerListen, Domain: n.cfg.Host.Domain,
 		},
 		Log: n.outside.Log, Topic: n.outside.HostsTopic, Seeds: n.cfg.Host.Seeds,
-		AnnounceInterval: announceEvery, PullInterval: pullEvery, Timeout: peerTimeout,
+		AnnounceInterval: announceEvery, PullInterval: pullEvery, CallTimeout: peerTimeout,
 		Copies: map[string]*replica.Replica{
 			n.outside.ConfigTopic:  n.configCopy,
 			n.outside.TargetsTopic: n.targetsCopy,
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -128,7 +128,7 @@
 
 func (f *limitFleet) newHost(name string) *limitHost {
 	h := &host{name: name, fleet: fleet.New(fleet.Options{
-		Self: fleet.Host{Name: name}, Log: acceptingLog{}, AnnounceInterval: 8 * time.Second, PullInterval: time.Minute, Timeout: time.Second,
+		Self: fleet.Host{Name: name}, Log: acceptingLog{}, AnnounceInterval: 8 * time.Second, PullInterval: time.Minute, CallTimeout: time.Second,
 	})}
 	go h.fleet.Run(f.stop)
 	h.targets = target.NewRegistry(target.Options{Elected: h.fleet.Elected, Hosts: h.fleet.Size})
