--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -192,7 +192,7 @@
 	if ask.EndsOnly && f.opts.Quarantine != nil {
 		answer.Quarantine = f.opts.Quarantine.Unkept()
 	}
-	for topic, c := range f.opts.Copies {
+	for topic, c := range f.opts.Replicas {
 		from, wanted := ask.From[topic]
 		if !wanted || c.End() < from {
 			continue
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -39,10 +39,10 @@
 	AnnounceInterval time.Duration // between announcements
 	PullInterval     time.Duration // between looks at whether to pull
 	CallTimeout      time.Duration // of a call to another host
-	// Copies are the copies of the log's topics that hosts pull from each other,
+	// Replicas are the copies of the log's topics that hosts pull from each other,
 	// by topic.
-	Copies map[string]*replica.Replica
-	Lend   func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan
+	Replicas map[string]*replica.Replica
+	Lend     func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan
 	// Recall takes back a loan whose borrower got no answer.
 	Recall func(id string) (tokens int64)
 	// Credit takes in tokens that another host gives, once for each gift.
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -162,7 +162,7 @@
 	l := memlog.New()
 	l.Put(eventlog.Partition{Topic: "list"}, "k", []byte("1"))
 	copied := replica.New(replica.Options{Log: l.Host("reader"), Partition: eventlog.Partition{Topic: "list"}, ReadTimeout: time.Second})
-	reader := New(Options{Copies: map[string]*replica.Replica{"list": copied}})
+	reader := New(Options{Replicas: map[string]*replica.Replica{"list": copied}})
 	server := httptest.NewServer(reader.Handler())
 	t.Cleanup(server.Close)
 
--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -63,7 +63,7 @@
 func (f *Fleet) stale() map[string]int64 {
 	now := time.Now()
 	topics := map[string]int64{}
-	for topic, c := range f.opts.Copies {
+	for topic, c := range f.opts.Replicas {
 		if c.Stale(now) {
 			topics[topic] = c.End()
 		}
@@ -188,7 +188,7 @@
 		log.WithFields(log.Fields{
 			"peer": address, "topic": topic, "records": len(part.Records), "end": part.End, "bytes": len(answer.Packed),
 		}).Info("pulled from another host")
-		f.opts.Copies[topic].MergeUpdate(part)
+		f.opts.Replicas[topic].MergeUpdate(part)
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 func (f *Fleet) behind(other pullResponse) map[string]int64 {
 	missing := map[string]int64{}
 	for topic, part := range other.Topics {
-		c := f.opts.Copies[topic]
+		c := f.opts.Replicas[topic]
 		if c == nil {
 			continue
 		}
--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -23,7 +23,7 @@
 	c := followed(t, l, name)
 	f := New(Options{
 		Self: Host{Name: name, Incarnation: "1"}, CallTimeout: time.Second,
-		Copies: map[string]*replica.Replica{configs.Topic: c},
+		Replicas: map[string]*replica.Replica{configs.Topic: c},
 	})
 	server := httptest.NewServer(f.Handler())
 	t.Cleanup(server.Close)
@@ -95,7 +95,7 @@
 		Self: Host{Name: "cut", Incarnation: "1"}, Log: l.Host("cut"), Topic: "hosts",
 		Seeds:            []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
 		AnnounceInterval: time.Hour, PullInterval: pull, CallTimeout: timeout,
-		Copies: map[string]*replica.Replica{configs.Topic: c},
+		Replicas: map[string]*replica.Replica{configs.Topic: c},
 	})
 	untilEnd(t, f.Run)
 	for end := time.Now().Add(inForce); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -222,7 +222,7 @@
 		},
 		Log: n.outside.Log, Topic: n.outside.HostsTopic, Seeds: n.cfg.Host.Seeds,
 		AnnounceInterval: announceEvery, PullInterval: pullEvery, CallTimeout: peerTimeout,
-		Copies: map[string]*replica.Replica{
+		Replicas: map[string]*replica.Replica{
 			n.outside.ConfigTopic:  n.configCopy,
 			n.outside.TargetsTopic: n.targetsCopy,
 			n.outside.HostsTopic:   n.hostsCopy,
