--- a/router/fleet/alllost_test.go
+++ b/router/fleet/alllost_test.go
@@ -15,7 +15,7 @@
 
 // beat is the announcement of a host of some incarnation, its n-th.
 func beat(i int, incarnation string, n int64) Host {
-	return Host{Name: fmt.Sprintf("h%d", i), Incarnation: incarnation, Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "z0", Beat: n}
+	return Host{Name: fmt.Sprintf("h%d", i), Incarnation: incarnation, Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "z0", Sequence: n}
 }
 
 // heard tells a fleet of announcements, of which the last has an offset in the topic.
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -27,7 +27,7 @@
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"` // for other hosts, IP:port
 	Domain      string `json:"domain"`  // failure domain
-	Beat        int64  `json:"beat"`    // counts the announcements of an incarnation
+	Sequence    int64  `json:"beat"`    // counts the announcements of an incarnation
 }
 
 // Options configure a Fleet.
@@ -147,7 +147,7 @@
 		if !again {
 			log.WithFields(log.Fields{"peer": name, "incarnation": h.Incarnation, "address": h.Address}).Info("host joined")
 		}
-		f.hosts[name] = known{host: h, seen: time.Now(), young: again && old.young || !again && h.Beat <= f.mostBeats(time.Now()), told: again}
+		f.hosts[name] = known{host: h, seen: time.Now(), young: again && old.young || !again && h.Sequence <= f.mostBeats(time.Now()), told: again}
 	}
 }
 
@@ -182,7 +182,7 @@
 func (f *Fleet) announce(ctx context.Context) {
 	self := f.opts.Self
 	for ctx.Err() == nil {
-		self.Beat++
+		self.Sequence++
 		pause := f.announcePause()
 		if err := f.write(ctx, self); err != nil {
 			pause = min(pause, announceRetry)
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -386,7 +386,7 @@
 		rec, _ := l.Get(at, "self")
 		var h Host
 		_ = json.Unmarshal(rec.Value, &h)
-		return h.Beat
+		return h.Sequence
 	}
 	until.True(t, "three announcements", func() bool { return beat() >= 3 })
 	l.SetFault("self", memlog.Fault{Refuse: true})
