--- a/router/fleet/alllost_test.go
+++ b/router/fleet/alllost_test.go
@@ -29,7 +29,7 @@
 		offset := end - int64(len(hosts)-1-i)
 		changes = append(changes, replica.Change{Record: eventlog.Record{Key: h.Name, Value: value, Offset: offset}})
 	}
-	f.Changed(changes)
+	f.HandleChanges(changes)
 }
 
 // A host that starts anew tells the loss of all hosts from its own loss, from the begin of a
--- a/router/fleet/elect_test.go
+++ b/router/fleet/elect_test.go
@@ -35,7 +35,7 @@
 			is.NoErr(err)
 			changes = append(changes, replica.Change{Record: eventlog.Record{Key: name, Value: value}})
 		}
-		f.Changed(changes)
+		f.HandleChanges(changes)
 		time.Sleep(10 * time.Second)
 		hosts, self := f.Elected("duty", 3)
 		is.Equal(hosts, 3)
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Changed takes in announcements from the log's copy.
-func (f *Fleet) Changed(changes []replica.Change) {
+// HandleChanges takes in announcements from the log's copy.
+func (f *Fleet) HandleChanges(changes []replica.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.othersAt, f.changed = time.Time{}, time.Now()
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 		}
 		changes = append(changes, replica.Change{Record: eventlog.Record{Key: h.Name, Value: value}})
 	}
-	f.Changed(changes)
+	f.HandleChanges(changes)
 }
 
 // hosts makes n hosts in some failure domains.
@@ -61,9 +61,9 @@
 	is.Equal(f.Size(), 1)
 	announced(f, hosts(6, 3)...)
 	is.Equal(f.Size(), 6) // itself once
-	f.Changed([]replica.Change{{Record: eventlog.Record{Key: "h1"}}})
+	f.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: "h1"}}})
 	is.Equal(f.Size(), 5)
-	f.Changed([]replica.Change{{Record: eventlog.Record{Key: "h2", Value: []byte("not JSON")}}})
+	f.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: "h2", Value: []byte("not JSON")}}})
 	is.Equal(f.Size(), 5)
 }
 
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			panic(err)
 		}
-		h.fleet.Changed([]replica.Change{{Record: eventlog.Record{Key: o.name, Value: value}}})
+		h.fleet.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: o.name, Value: value}}})
 	}
 }
 
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -155,7 +155,7 @@
 	}
 	for _, h := range f.hosts {
 		if !h.cut && !h.down {
-			h.fleet.Changed(changes)
+			h.fleet.HandleChanges(changes)
 		}
 	}
 }
