--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -91,7 +91,7 @@
 		for _, self := range all {
 			f := newFleet(self)
 			announced(f, all...)
-			f.SetParts(map[string]float64{"org": part})
+			f.SetBudgetShares(map[string]float64{"org": part})
 			count, own := f.Keepers("org")
 			is.Equal(count, wanted)
 			if own {
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -9,8 +9,8 @@
 	"maststage.dev/router/keeper"
 )
 
-// SetParts takes over which part of all prepaid tokens each organisation has.
-func (f *Fleet) SetParts(parts map[string]float64) {
+// SetBudgetShares takes over which part of all prepaid tokens each organisation has.
+func (f *Fleet) SetBudgetShares(parts map[string]float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.parts = parts
--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -38,7 +38,7 @@
 		f := newFleet(self)
 		f.calls.http.Transport = calls
 		announced(f, l.all...)
-		f.SetParts(partsOf(l.limits))
+		f.SetBudgetShares(partsOf(l.limits))
 		tr := prepaid.New(prepaid.Options{
 			Log: l.log.Host(self.Name), Topic: "b", Partitions: 4, Host: fmt.Sprintf("%s/%d", self.Name, incarnation),
 			Sizing: prepaid.DefaultSizing, Timeout: time.Second, RefreshInterval: 400 * time.Millisecond, MaxWait: 150 * time.Millisecond,
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -41,7 +41,7 @@
 		f := newFleet(self)
 		f.calls.http.Transport = calls
 		announced(f, all...)
-		f.SetParts(partsOf(limits))
+		f.SetBudgetShares(partsOf(limits))
 		tr := prepaid.New(prepaid.Options{
 			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Sizing: prepaid.DefaultSizing,
 			Timeout: 100 * time.Millisecond, RefreshInterval: 400 * time.Millisecond, MaxWait: 100 * time.Millisecond,
--- a/router/node/config.go
+++ b/router/node/config.go
@@ -165,7 +165,7 @@
 	if old != nil && config.Version <= old.Version {
 		return
 	}
-	n.fleet.SetParts(parts(budgets(config)))
+	n.fleet.SetBudgetShares(parts(budgets(config)))
 	n.setCold(config, n.newestSettings().Bounds)
 	n.handler.Configure(config)
 	n.shareConnections()
