--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -26,8 +26,8 @@
 	return count, keeper.IsKeeper(organisation, f.opts.Self.Name, others, count)
 }
 
-// First says whether this host is the one of all that has a duty.
-func (f *Fleet) First(duty string) bool {
+// IsPrimary says whether this host is the one of all that has a duty.
+func (f *Fleet) IsPrimary(duty string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := rendezvous.Score(duty, f.opts.Self.Name)
--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -68,7 +68,7 @@
 }
 
 // FirstOfRollout says whether this host is the first that may conduct the rollout of a service.
-func (f *Fleet) FirstOfRollout(service string) bool { return f.First(rolloutDuty(service)) }
+func (f *Fleet) FirstOfRollout(service string) bool { return f.IsPrimary(rolloutDuty(service)) }
 
 func rolloutDuty(service string) string { return "rollout/" + service }
 
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -257,7 +257,7 @@
 			n.outside.ConfigTopic:  n.configCopy,
 			n.outside.TargetsTopic: n.targetsCopy,
 		},
-		Writer: func() bool { return n.fleet.First(n.outside.ArchiveTopic) },
+		Writer: func() bool { return n.fleet.IsPrimary(n.outside.ArchiveTopic) },
 	})
 }
 
