--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -67,8 +67,8 @@
 	return f.silentLast(addresses)
 }
 
-// FirstOfRollout says whether this host is the first that may conduct the rollout of a service.
-func (f *Fleet) FirstOfRollout(service string) bool { return f.IsPrimary(rolloutDuty(service)) }
+// IsPrimaryForRollout says whether this host is the first that may conduct the rollout of a service.
+func (f *Fleet) IsPrimaryForRollout(service string) bool { return f.IsPrimary(rolloutDuty(service)) }
 
 func rolloutDuty(service string) string { return "rollout/" + service }
 
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -257,7 +257,7 @@
 		}
 	}
 	for _, rec := range r.gate.Orphaned() {
-		if next, ok := rollout.Drop(&rec); ok && r.node.fleet.FirstOfRollout(rec.Service) {
+		if next, ok := rollout.Drop(&rec); ok && r.node.fleet.IsPrimaryForRollout(rec.Service) {
 			records = append(records, next)
 		}
 	}
