--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -24,7 +24,7 @@
 type Options struct {
 	Log      eventlog.Log
 	Topic    string
-	Copies   map[string]*replica.Replica // by topic
+	Replicas map[string]*replica.Replica // by topic
 	Every    time.Duration               // between two copies of a topic
 	Patience time.Duration               // a start waits so long for the topics themselves
 	Timeout  time.Duration               // of a call, to its first bytes and between them
@@ -80,7 +80,7 @@
 // missing lists the topics that this host has nothing of.
 func (a *Archive) missing() []string {
 	var topics []string
-	for topic, c := range a.opts.Copies {
+	for topic, c := range a.opts.Replicas {
 		if !c.Loaded() {
 			topics = append(topics, topic)
 		}
@@ -139,13 +139,13 @@
 	if err != nil {
 		return fmt.Errorf("copy of %s: %w", topic, err)
 	}
-	a.opts.Copies[topic].MergeNewest(records, s.End)
+	a.opts.Replicas[topic].MergeNewest(records, s.End)
 	log.WithFields(log.Fields{"topic": topic, "records": len(records), "end": s.End}).Warn("started from a copy of a topic")
 	return nil
 }
 
 func (a *Archive) writeAll(ctx context.Context) {
-	for topic, c := range a.opts.Copies {
+	for topic, c := range a.opts.Replicas {
 		if !c.Loaded() || c.End() == a.written[topic] {
 			continue
 		}
--- a/router/archive/archive_test.go
+++ b/router/archive/archive_test.go
@@ -32,7 +32,7 @@
 func startLimited(t *testing.T, l *memlog.Log, name string, writer bool, maxBytes int) (c *replica.Replica, stop func()) {
 	c = replica.New(replica.Options{Log: l.Host(name), Partition: listed, LongPoll: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond})
 	a := New(Options{
-		Log: l.Host(name), Topic: "copies", Copies: map[string]*replica.Replica{"list": c},
+		Log: l.Host(name), Topic: "copies", Replicas: map[string]*replica.Replica{"list": c},
 		Every: 20 * time.Millisecond, Patience: 20 * time.Millisecond, Timeout: time.Second, MaxBytes: maxBytes, Partitions: 3,
 		Writer: func() bool { return writer },
 	})
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -253,7 +253,7 @@
 		Log: n.outside.Log, Topic: n.outside.ArchiveTopic, MaxBytes: n.outside.MaxRecordBytes,
 		Partitions: min(archiveCopies, n.cfg.Log.Partitions),
 		Every:      archiveEvery, Patience: archivePatience, Timeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
-		Copies: map[string]*replica.Replica{
+		Replicas: map[string]*replica.Replica{
 			n.outside.ConfigTopic:  n.configCopy,
 			n.outside.TargetsTopic: n.targetsCopy,
 		},
