--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -22,13 +22,13 @@
 
 // Options configure an Archive.
 type Options struct {
-	Log      eventlog.Log
-	Topic    string
-	Replicas map[string]*replica.Replica // by topic
-	Every    time.Duration               // between two copies of a topic
-	Patience time.Duration               // a start waits so long for the topics themselves
-	Timeout  time.Duration               // of a call, to its first bytes and between them
-	MaxBytes int                         // of a copy
+	Log           eventlog.Log
+	Topic         string
+	Replicas      map[string]*replica.Replica // by topic
+	WriteInterval time.Duration               // between two copies of a topic
+	Patience      time.Duration               // a start waits so long for the topics themselves
+	Timeout       time.Duration               // of a call, to its first bytes and between them
+	MaxBytes      int                         // of a copy
 	// Partitions is how many partitions of the topic hold the same copies, since the
 	// log may be out of reach by partitions.
 	Partitions int
@@ -69,7 +69,7 @@
 		if a.opts.Writer() {
 			a.writeAll(ctx)
 		}
-		wait.For(ctx, a.opts.Every)
+		wait.For(ctx, a.opts.WriteInterval)
 	}
 }
 
