--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -26,7 +26,7 @@
 	Topic         string
 	Replicas      map[string]*replica.Replica // by topic
 	WriteInterval time.Duration               // between two copies of a topic
-	Patience      time.Duration               // a start waits so long for the topics themselves
+	FallbackDelay time.Duration               // a start waits so long for the topics themselves
 	Timeout       time.Duration               // of a call, to its first bytes and between them
 	MaxBytes      int                         // of a copy
 	// Partitions is how many partitions of the topic hold the same copies, since the
@@ -58,8 +58,8 @@
 // Run reads the copies if the topics can't be read at the start, and then writes
 // copies, until ctx ends.
 func (a *Archive) Run(ctx context.Context) {
-	wait.For(ctx, a.opts.Patience)
-	for pause := a.opts.Patience; ctx.Err() == nil && len(a.missing()) > 0; pause = min(2*pause, mostPause) {
+	wait.For(ctx, a.opts.FallbackDelay)
+	for pause := a.opts.FallbackDelay; ctx.Err() == nil && len(a.missing()) > 0; pause = min(2*pause, mostPause) {
 		if err := a.load(ctx); err != nil {
 			log.WithError(err).Debug("copies of topics can't be read")
 		}
