--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -27,7 +27,7 @@
 	Replicas      map[string]*replica.Replica // by topic
 	WriteInterval time.Duration               // between two copies of a topic
 	FallbackDelay time.Duration               // a start waits so long for the topics themselves
-	Timeout       time.Duration               // of a call, to its first bytes and between them
+	CallTimeout   time.Duration               // of a call, to its first bytes and between them
 	MaxBytes      int                         // of a copy
 	// Partitions is how many partitions of the topic hold the same copies, since the
 	// log may be out of reach by partitions.
@@ -111,7 +111,7 @@
 }
 
 func (a *Archive) loadFrom(ctx context.Context, p eventlog.Partition) error {
-	c, cancel := patience.New(ctx, patience.Limits{First: a.opts.Timeout, Silence: a.opts.Timeout, Most: longestLoad})
+	c, cancel := patience.New(ctx, patience.Limits{First: a.opts.CallTimeout, Silence: a.opts.CallTimeout, Most: longestLoad})
 	defer cancel()
 	page, err := a.opts.Log.Newest(c, p, "")
 	if err != nil {
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -252,7 +252,7 @@
 	return archive.New(archive.Options{
 		Log: n.outside.Log, Topic: n.outside.ArchiveTopic, MaxBytes: n.outside.MaxRecordBytes,
 		Partitions:    min(archiveCopies, n.cfg.Log.Partitions),
-		WriteInterval: archiveEvery, FallbackDelay: archivePatience, Timeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
+		WriteInterval: archiveEvery, FallbackDelay: archivePatience, CallTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		Replicas: map[string]*replica.Replica{
 			n.outside.ConfigTopic:  n.configCopy,
 			n.outside.TargetsTopic: n.targetsCopy,
