--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -22,13 +22,13 @@
 
 // Options configure an Archive.
 type Options struct {
-	Log           eventlog.Log
-	Topic         string
-	Replicas      map[string]*replica.Replica // by topic
-	WriteInterval time.Duration               // between two copies of a topic
-	FallbackDelay time.Duration               // a start waits so long for the topics themselves
-	CallTimeout   time.Duration               // of a call, to its first bytes and between them
-	MaxBytes      int                         // of a copy
+	Log            eventlog.Log
+	Topic          string
+	Replicas       map[string]*replica.Replica // by topic
+	WriteInterval  time.Duration               // between two copies of a topic
+	FallbackDelay  time.Duration               // a start waits so long for the topics themselves
+	CallTimeout    time.Duration               // of a call, to its first bytes and between them
+	MaxRecordBytes int                         // of a copy
 	// Partitions is how many partitions of the topic hold the same copies, since the
 	// log may be out of reach by partitions.
 	Partitions int
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	if len(value) > a.opts.MaxBytes {
+	if len(value) > a.opts.MaxRecordBytes {
 		return fmt.Errorf("%d bytes are more than a record may have", len(value))
 	}
 	for i := range a.opts.Partitions {
--- a/router/archive/archive_test.go
+++ b/router/archive/archive_test.go
@@ -33,7 +33,7 @@
 	c = replica.New(replica.Options{Log: l.Host(name), Partition: listed, LongPoll: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond})
 	a := New(Options{
 		Log: l.Host(name), Topic: "copies", Replicas: map[string]*replica.Replica{"list": c},
-		WriteInterval: 20 * time.Millisecond, FallbackDelay: 20 * time.Millisecond, CallTimeout: time.Second, MaxBytes: maxBytes, Partitions: 3,
+		WriteInterval: 20 * time.Millisecond, FallbackDelay: 20 * time.Millisecond, CallTimeout: time.Second, MaxRecordBytes: maxBytes, Partitions: 3,
 		Writer: func() bool { return writer },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -250,7 +250,7 @@
 // is out of reach in part.
 func (n *Node) newArchive() *archive.Archive {
 	return archive.New(archive.Options{
-		Log: n.outside.Log, Topic: n.outside.ArchiveTopic, MaxBytes: n.outside.MaxRecordBytes,
+		Log: n.outside.Log, Topic: n.outside.ArchiveTopic, MaxRecordBytes: n.outside.MaxRecordBytes,
 		Partitions:    min(archiveCopies, n.cfg.Log.Partitions),
 		WriteInterval: archiveEvery, FallbackDelay: archivePatience, CallTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		Replicas: map[string]*replica.Replica{
