--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -32,8 +32,8 @@
 	// Partitions is how many partitions of the topic hold the same copies, since the
 	// log may be out of reach by partitions.
 	Partitions int
-	// Writer says whether this host is the one that writes copies.
-	Writer func() bool
+	// IsWriter says whether this host is the one that writes copies.
+	IsWriter func() bool
 }
 
 // Archive writes copies, and reads them at a start.
@@ -66,7 +66,7 @@
 		wait.For(ctx, wait.Jitter(pause))
 	}
 	for ctx.Err() == nil {
-		if a.opts.Writer() {
+		if a.opts.IsWriter() {
 			a.writeAll(ctx)
 		}
 		wait.For(ctx, a.opts.WriteInterval)
--- a/router/archive/archive_test.go
+++ b/router/archive/archive_test.go
@@ -34,7 +34,7 @@
 	a := New(Options{
 		Log: l.Host(name), Topic: "copies", Replicas: map[string]*replica.Replica{"list": c},
 		WriteInterval: 20 * time.Millisecond, FallbackDelay: 20 * time.Millisecond, CallTimeout: time.Second, MaxRecordBytes: maxBytes, Partitions: 3,
-		Writer: func() bool { return writer },
+		IsWriter: func() bool { return writer },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 2)
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -257,7 +257,7 @@
 			n.outside.ConfigTopic:  n.configCopy,
 			n.outside.TargetsTopic: n.targetsCopy,
 		},
-		Writer: func() bool { return n.fleet.IsPrimary(n.outside.ArchiveTopic) },
+		IsWriter: func() bool { return n.fleet.IsPrimary(n.outside.ArchiveTopic) },
 	})
 }
 
