--- a/router/exchange/conn.go
+++ b/router/exchange/conn.go
@@ -45,14 +45,14 @@
 	Body   []byte
 }
 
-// Failure is why an exchange brought no answer.
-type Failure struct {
+// Error is why an exchange brought no answer.
+type Error struct {
 	// Sent means that the target may have got the request.
 	Sent bool
 	Err  error
 }
 
-func (f *Failure) Error() string {
+func (f *Error) Error() string {
 	if f.Sent {
 		return fmt.Sprintf("after sending: %v", f.Err)
 	}
@@ -60,7 +60,7 @@
 }
 
 // Unwrap gives the cause.
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *Error) Unwrap() error { return f.Err }
 
 // inlineBody is the size of a request in bytes up to which it is written before
 // the answer is read; a longer one is written beside, since a target may answer early.
@@ -71,7 +71,7 @@
 
 // Send writes the request and starts watching ctx: when it ends, so does all
 // that is under way on the connection.
-func (c *Conn) Send(ctx context.Context, req Request) *Failure {
+func (c *Conn) Send(ctx context.Context, req Request) *Error {
 	c.stop = context.AfterFunc(ctx, c.Abort)
 	c.request = &http.Request{Method: req.Method}
 	c.written = make(chan error, 1)
@@ -82,13 +82,13 @@
 	return nil
 }
 
-func (c *Conn) sendInline(req Request) *Failure {
+func (c *Conn) sendInline(req Request) *Error {
 	data := append(append(make([]byte, 0, len(req.Head)+len(req.Body)), req.Head...), req.Body...)
 	n, err := c.nc.Write(data)
 	c.written <- err
 	if err != nil {
 		c.spoiled = true
-		return &Failure{Sent: n > 0, Err: err}
+		return &Error{Sent: n > 0, Err: err}
 	}
 	return nil
 }
@@ -104,12 +104,12 @@
 
 // Receive reads the head of the next answer. Its body must be read to the end or
 // the connection closed.
-func (c *Conn) Receive() (*http.Response, *Failure) {
+func (c *Conn) Receive() (*http.Response, *Error) {
 	for range maxInterim {
 		resp, err := http.ReadResponse(c.reader, c.request)
 		if err != nil {
 			c.spoiled = true
-			return nil, &Failure{Sent: true, Err: err}
+			return nil, &Error{Sent: true, Err: err}
 		}
 		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
 			c.noteKeepAlive(resp)
@@ -117,7 +117,7 @@
 		}
 	}
 	c.spoiled = true
-	return nil, &Failure{Sent: true, Err: errors.New("too many interim answers")}
+	return nil, &Error{Sent: true, Err: errors.New("too many interim answers")}
 }
 
 // noteKeepAlive takes in what the answer says of the connection's further use.
