--- a/router/exchange/conn.go
+++ b/router/exchange/conn.go
@@ -47,13 +47,13 @@
 
 // Error is why an exchange brought no answer.
 type Error struct {
-	// Sent means that the target may have got the request.
-	Sent bool
-	Err  error
+	// MaybeSent means that the target may have got the request.
+	MaybeSent bool
+	Err       error
 }
 
 func (f *Error) Error() string {
-	if f.Sent {
+	if f.MaybeSent {
 		return fmt.Sprintf("after sending: %v", f.Err)
 	}
 	return fmt.Sprintf("before sending: %v", f.Err)
@@ -88,7 +88,7 @@
 	c.written <- err
 	if err != nil {
 		c.spoiled = true
-		return &Error{Sent: n > 0, Err: err}
+		return &Error{MaybeSent: n > 0, Err: err}
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 		resp, err := http.ReadResponse(c.reader, c.request)
 		if err != nil {
 			c.spoiled = true
-			return nil, &Error{Sent: true, Err: err}
+			return nil, &Error{MaybeSent: true, Err: err}
 		}
 		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
 			c.noteKeepAlive(resp)
@@ -117,7 +117,7 @@
 		}
 	}
 	c.spoiled = true
-	return nil, &Error{Sent: true, Err: errors.New("too many interim answers")}
+	return nil, &Error{MaybeSent: true, Err: errors.New("too many interim answers")}
 }
 
 // noteKeepAlive takes in what the answer says of the connection's further use.
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -133,7 +133,7 @@
 	head := q.handler.tryHead(q, c.target.ID, left)
 	if f := conn.Send(ctx, exchange.Request{Method: q.r.Method, Head: head, Body: q.body}); f != nil {
 		conn.Done(false)
-		if !f.Sent {
+		if !f.MaybeSent {
 			return c.ended(ctx, notSent, f)
 		}
 		c.noteSent()
