--- a/router/exchange/conn.go
+++ b/router/exchange/conn.go
@@ -144,9 +144,9 @@
 // Spoil keeps the connection from being used again.
 func (c *Conn) Spoil() { c.spoiled = true }
 
-// Done ends the exchange. whole says that the answer was read to its end; only
+// Finish ends the exchange. whole says that the answer was read to its end; only
 // then, and if nothing else speaks against it, the connection is used again.
-func (c *Conn) Done(whole bool) {
+func (c *Conn) Finish(whole bool) {
 	stopped := c.stop == nil || c.stop()
 	if !whole || !stopped || c.spoiled || !c.writeDone() || c.reader.Buffered() > 0 {
 		c.Close()
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -132,7 +132,7 @@
 	c.resumed = q.lastEventID()
 	head := q.handler.tryHead(q, c.target.ID, left)
 	if f := conn.Send(ctx, exchange.Request{Method: q.r.Method, Head: head, Body: q.body}); f != nil {
-		conn.Done(false)
+		conn.Finish(false)
 		if !f.MaybeSent {
 			return c.ended(ctx, notSent, f)
 		}
@@ -205,21 +205,21 @@
 	for range maxCrossed {
 		resp, f := c.conn.Receive()
 		if f != nil {
-			c.conn.Done(false)
+			c.conn.Finish(false)
 			return c.ended(ctx, c.silence.result(broken), f)
 		}
 		if id := resp.Header.Get(q.handler.names.RequestID); id != "" && id != q.id {
 			// An answer to another request came in its place; ours may follow.
 			c.conn.Spoil()
 			if _, ok, err := exchange.ReadWhole(resp.Body, maxWhole); !ok || err != nil {
-				c.conn.Done(false)
+				c.conn.Finish(false)
 				return c.ended(ctx, broken, errors.New("an answer to another request"))
 			}
 			continue
 		}
 		return c.handle(ctx, resp)
 	}
-	c.conn.Done(false)
+	c.conn.Finish(false)
 	return c.ended(ctx, broken, errors.New("only answers to other requests"))
 }
 
@@ -238,14 +238,14 @@
 	c.answered()
 	c.whole = provesARun(resp)
 	if resp.Header.Get(names.Stamp) == "" {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return broken, fmt.Errorf("target: %s without its signature", resp.Status)
 	}
 	if q.route.Kind == routing.Streaming && resp.StatusCode < http.StatusMultipleChoices {
 		return c.passStream(ctx, resp)
 	}
 	if q.stream != nil && q.stream.begun {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return broken, fmt.Errorf("target: %s in place of the rest of a stream", resp.Status)
 	}
 	return c.passWhole(ctx, resp)
@@ -255,7 +255,7 @@
 // connection may be used again.
 func (c *call) finish(resp *http.Response) {
 	_, ok, err := exchange.ReadWhole(resp.Body, maxRest)
-	c.conn.Done(ok && err == nil)
+	c.conn.Finish(ok && err == nil)
 }
 
 // maxRest bounds what is read of an answer that nobody needs, in bytes.
--- a/router/forward/stream.go
+++ b/router/forward/stream.go
@@ -42,7 +42,7 @@
 			c.noteEvents(s.scanner.Events() - before)
 			if whole > 0 {
 				if werr := c.awaitCaller(func() error { return q.sendEvents(resp, pending, data[:whole]) }); werr != nil {
-					c.conn.Done(false)
+					c.conn.Finish(false)
 					return callerGone, werr
 				}
 				pending = pending[:0]
@@ -54,7 +54,7 @@
 		case errors.Is(err, io.EOF):
 			return c.endStream(ctx, resp, pending)
 		case err != nil:
-			c.conn.Done(false)
+			c.conn.Finish(false)
 			return c.ended(ctx, c.silence.result(broken), fmt.Errorf("stream broke off: %w", err))
 		}
 	}
@@ -64,13 +64,13 @@
 func (c *call) endStream(ctx context.Context, resp *http.Response, pending []byte) (result, error) {
 	q := c.request
 	if len(pending) > 0 {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return c.ended(ctx, broken, errors.New("stream ended inside an event"))
 	}
 	if !q.stream.begun {
 		q.beginStream(resp)
 	}
-	c.conn.Done(true)
+	c.conn.Finish(true)
 	return delivered, nil
 }
 
--- a/router/forward/whole.go
+++ b/router/forward/whole.go
@@ -71,13 +71,13 @@
 	q := c.request
 	body, fits, err := q.readWhole(resp)
 	if err != nil {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return c.ended(ctx, c.silence.result(broken), fmt.Errorf("answer broke off: %w", err))
 	}
 	if !fits {
 		return c.passLong(ctx, resp, body)
 	}
-	c.conn.Done(true)
+	c.conn.Finish(true)
 	answer := &whole{resp: resp, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError && q.route.Repeatable() {
 		q.failed = answer
@@ -100,12 +100,12 @@
 	c.silence.pause()
 	to := &unreadWriter{request: q}
 	if _, err := io.Copy(to, io.MultiReader(bytes.NewReader(begin), resp.Body)); err != nil {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		if to.err != nil {
 			return callerGone, err
 		}
 		return c.ended(ctx, cutOff, fmt.Errorf("answer broke off: %w", err))
 	}
-	c.conn.Done(true)
+	c.conn.Finish(true)
 	return delivered, nil
 }
