--- a/router/exchange/conn.go
+++ b/router/exchange/conn.go
@@ -141,8 +141,8 @@
 // from another goroutine.
 func (c *Conn) Abort() { _ = c.nc.SetDeadline(aLongTimeAgo) }
 
-// Spoil keeps the connection from being used again.
-func (c *Conn) Spoil() { c.spoiled = true }
+// DisableReuse keeps the connection from being used again.
+func (c *Conn) DisableReuse() { c.spoiled = true }
 
 // Finish ends the exchange. whole says that the answer was read to its end; only
 // then, and if nothing else speaks against it, the connection is used again.
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -210,7 +210,7 @@
 		}
 		if id := resp.Header.Get(q.handler.names.RequestID); id != "" && id != q.id {
 			// An answer to another request came in its place; ours may follow.
-			c.conn.Spoil()
+			c.conn.DisableReuse()
 			if _, ok, err := exchange.ReadWhole(resp.Body, maxWhole); !ok || err != nil {
 				c.conn.Finish(false)
 				return c.ended(ctx, broken, errors.New("an answer to another request"))
