--- a/router/exchange/conn.go
+++ b/router/exchange/conn.go
@@ -196,9 +196,9 @@
 	return err == nil && quiet
 }
 
-// ReadWhole reads a body to its end, at most limit bytes. ok is false if it is
+// ReadLimited reads a body to its end, at most limit bytes. ok is false if it is
 // longer; what was read is then the beginning.
-func ReadWhole(body io.Reader, limit int64) (data []byte, ok bool, err error) {
+func ReadLimited(body io.Reader, limit int64) (data []byte, ok bool, err error) {
 	data, err = io.ReadAll(io.LimitReader(body, limit+1))
 	if int64(len(data)) > limit {
 		return data, false, err
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -211,7 +211,7 @@
 		if id := resp.Header.Get(q.handler.names.RequestID); id != "" && id != q.id {
 			// An answer to another request came in its place; ours may follow.
 			c.conn.DisableReuse()
-			if _, ok, err := exchange.ReadWhole(resp.Body, maxWhole); !ok || err != nil {
+			if _, ok, err := exchange.ReadLimited(resp.Body, maxWhole); !ok || err != nil {
 				c.conn.Finish(false)
 				return c.ended(ctx, broken, errors.New("an answer to another request"))
 			}
@@ -254,7 +254,7 @@
 // finish reads the rest of an answer that is not passed on, so that the
 // connection may be used again.
 func (c *call) finish(resp *http.Response) {
-	_, ok, err := exchange.ReadWhole(resp.Body, maxRest)
+	_, ok, err := exchange.ReadLimited(resp.Body, maxRest)
 	c.conn.Finish(ok && err == nil)
 }
 
--- a/router/forward/whole.go
+++ b/router/forward/whole.go
@@ -53,10 +53,10 @@
 		size = maxWhole
 	}
 	if size <= leastWhole || !q.handler.opts.Unread.Reserve(size) {
-		return exchange.ReadWhole(resp.Body, leastWhole)
+		return exchange.ReadLimited(resp.Body, leastWhole)
 	}
 	q.room = size
-	return exchange.ReadWhole(resp.Body, maxWhole)
+	return exchange.ReadLimited(resp.Body, maxWhole)
 }
 
 // freeRoom ends the reservation of room for a whole answer.
