--- a/router/exchange/pool.go
+++ b/router/exchange/pool.go
@@ -15,8 +15,8 @@
 
 // Errors of Get. The request was not sent.
 var (
-	// ErrLimit means that the pool has as many connections as it may have.
-	ErrLimit = errors.New("exchange: connection limit reached")
+	// ErrConnLimit means that the pool has as many connections as it may have.
+	ErrConnLimit = errors.New("exchange: connection limit reached")
 	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("exchange: pool is closed")
 )
@@ -101,7 +101,7 @@
 	n := len(p.idle)
 	if n == 0 {
 		if p.limit > 0 && p.open >= p.limit {
-			return nil, ErrLimit
+			return nil, ErrConnLimit
 		}
 		return nil, nil
 	}
@@ -114,7 +114,7 @@
 	p.mu.Lock()
 	if p.limit > 0 && p.open >= p.limit {
 		p.mu.Unlock()
-		return nil, ErrLimit
+		return nil, ErrConnLimit
 	}
 	p.open++
 	p.mu.Unlock()
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -177,7 +177,7 @@
 	switch {
 	case err == nil:
 		return !conn.Reused()
-	case errors.Is(err, exchange.ErrLimit), errors.Is(err, exchange.ErrClosed):
+	case errors.Is(err, exchange.ErrConnLimit), errors.Is(err, exchange.ErrClosed):
 		return false
 	}
 	return ctx.Err() == nil
