--- a/router/exchange/pool.go
+++ b/router/exchange/pool.go
@@ -167,8 +167,8 @@
 	p.mu.Unlock()
 }
 
-// Sweep closes idle connections whose time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections whose time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var kept, old []*Conn
 	for _, c := range p.idle {
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -236,7 +236,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.targets {
-		t.Pool.Sweep(now)
+		t.Pool.CloseExpired(now)
 		if !t.leftAt.IsZero() && now.Sub(t.leftAt) > r.opts.DrainWithin {
 			t.Pool.Close()
 		}
