--- a/router/exchange/pool.go
+++ b/router/exchange/pool.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// Open counts the connections, idle or not.
-func (p *Pool) Open() int {
+// OpenConns counts the connections, idle or not.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
