--- a/router/exchange/pool.go
+++ b/router/exchange/pool.go
@@ -27,8 +27,8 @@
 	DialTimeout time.Duration // for a new connection
 	IdleTimeout time.Duration // an idle connection is kept so long unless the target says less
 	MaxIdle     int
-	// UserTimeout is how long sent bytes may stay without acknowledgement.
-	UserTimeout time.Duration
+	// TCPUserTimeout is how long sent bytes may stay without acknowledgement.
+	TCPUserTimeout time.Duration
 	// OnDial is called for each new connection.
 	OnDial func()
 }
@@ -126,7 +126,7 @@
 	if p.opts.OnDial != nil {
 		p.opts.OnDial()
 	}
-	setUserTimeout(nc, p.opts.UserTimeout)
+	setUserTimeout(nc, p.opts.TCPUserTimeout)
 	return &Conn{pool: p, nc: nc, reader: bufio.NewReaderSize(nc, readBuffer)}, nil
 }
 
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -177,7 +177,7 @@
 		ID: e.ID, Service: e.Service, Address: e.Address, Domain: e.Domain, Version: e.Version, slots: max(e.Slots, 1), life: e.Incarnation(),
 		Pool: exchange.NewPool(exchange.Options{
 			Address: e.Address, DialTimeout: r.opts.DialTimeout, IdleTimeout: r.opts.IdleTimeout,
-			MaxIdle: r.opts.MaxIdle, UserTimeout: r.opts.UserTimeout, OnDial: r.opts.OnDial,
+			MaxIdle: r.opts.MaxIdle, TCPUserTimeout: r.opts.UserTimeout, OnDial: r.opts.OnDial,
 		}),
 	}
 	t.Pool.SetLimit(r.maxConns[e.Service])
