--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/rollout"
 	"maststage.dev/router/routing"
 	"maststage.dev/router/target"
@@ -55,7 +55,7 @@
 type call struct {
 	request *request
 	target  *target.Target
-	conn    *exchange.Conn // another request's, once it is done
+	conn    *httpconn.Conn // another request's, once it is done
 	reused  bool           // it had carried answers before
 	started time.Time
 	work    float64 // counted at the target until it answers
@@ -131,7 +131,7 @@
 	}
 	c.resumed = q.lastEventID()
 	head := q.handler.tryHead(q, c.target.ID, left)
-	if f := conn.Send(ctx, exchange.Request{Method: q.r.Method, Head: head, Body: q.body}); f != nil {
+	if f := conn.Send(ctx, httpconn.Request{Method: q.r.Method, Head: head, Body: q.body}); f != nil {
 		conn.Finish(false)
 		if !f.MaybeSent {
 			return c.ended(ctx, notSent, f)
@@ -156,7 +156,7 @@
 // defaultDeadline is handed on when neither caller nor route has one.
 const defaultDeadline = time.Minute
 
-func (c *call) connect(ctx context.Context) (*exchange.Conn, error) {
+func (c *call) connect(ctx context.Context) (*httpconn.Conn, error) {
 	rest := restSafe
 	if !c.request.route.Repeatable() {
 		rest = restUnsafe
@@ -173,11 +173,11 @@
 
 // dialled says whether the time of a connection tells how long dials take: not if none was
 // made, nor if the request ended meanwhile.
-func (c *call) dialled(ctx context.Context, conn *exchange.Conn, err error) bool {
+func (c *call) dialled(ctx context.Context, conn *httpconn.Conn, err error) bool {
 	switch {
 	case err == nil:
 		return !conn.Reused()
-	case errors.Is(err, exchange.ErrConnLimit), errors.Is(err, exchange.ErrClosed):
+	case errors.Is(err, httpconn.ErrConnLimit), errors.Is(err, httpconn.ErrClosed):
 		return false
 	}
 	return ctx.Err() == nil
@@ -211,7 +211,7 @@
 		if id := resp.Header.Get(q.handler.names.RequestID); id != "" && id != q.id {
 			// An answer to another request came in its place; ours may follow.
 			c.conn.DisableReuse()
-			if _, ok, err := exchange.ReadLimited(resp.Body, maxWhole); !ok || err != nil {
+			if _, ok, err := httpconn.ReadLimited(resp.Body, maxWhole); !ok || err != nil {
 				c.conn.Finish(false)
 				return c.ended(ctx, broken, errors.New("an answer to another request"))
 			}
@@ -254,7 +254,7 @@
 // finish reads the rest of an answer that is not passed on, so that the
 // connection may be used again.
 func (c *call) finish(resp *http.Response) {
-	_, ok, err := exchange.ReadLimited(resp.Body, maxRest)
+	_, ok, err := httpconn.ReadLimited(resp.Body, maxRest)
 	c.conn.Finish(ok && err == nil)
 }
 
--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"maststage.dev/lib/guard"
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/quarantine"
 )
 
@@ -105,23 +105,23 @@
 // note ends before its connection may carry another request.
 type waits struct {
 	mu    sync.Mutex
-	conns map[quarantine.Digest][]*exchange.Conn
+	conns map[quarantine.Digest][]*httpconn.Conn
 }
 
-func newWaits() *waits { return &waits{conns: map[quarantine.Digest][]*exchange.Conn{}} }
+func newWaits() *waits { return &waits{conns: map[quarantine.Digest][]*httpconn.Conn{}} }
 
 // add notes a try and gives what ends the note.
-func (w *waits) add(d quarantine.Digest, conn *exchange.Conn) (done func()) {
+func (w *waits) add(d quarantine.Digest, conn *httpconn.Conn) (done func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conns[d] = append(w.conns[d], conn)
 	return func() { w.remove(d, conn) }
 }
 
-func (w *waits) remove(d quarantine.Digest, conn *exchange.Conn) {
+func (w *waits) remove(d quarantine.Digest, conn *httpconn.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	rest := slices.DeleteFunc(w.conns[d], func(c *exchange.Conn) bool { return c == conn })
+	rest := slices.DeleteFunc(w.conns[d], func(c *httpconn.Conn) bool { return c == conn })
 	if len(rest) == 0 {
 		delete(w.conns, d)
 		return
--- a/router/forward/silence.go
+++ b/router/forward/silence.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/routing"
 )
 
@@ -49,7 +49,7 @@
 // ends no answer.
 type silence struct {
 	request *request
-	conn    *exchange.Conn
+	conn    *httpconn.Conn
 	claim   func() bool // asks for another try
 	timer   *time.Timer
 
@@ -62,7 +62,7 @@
 	gaveUp  bool
 }
 
-func (q *request) watchSilence(conn *exchange.Conn, target string) *silence {
+func (q *request) watchSilence(conn *httpconn.Conn, target string) *silence {
 	s := &silence{request: q, conn: conn, began: time.Now(), span: q.beginPatience()}
 	s.claim = func() bool { return q.claimTry(target) }
 	s.timer = time.AfterFunc(s.span, s.over)
--- a/router/forward/whole.go
+++ b/router/forward/whole.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 )
 
 // maxWhole is the size up to which an answer is read whole before any of it is
@@ -53,10 +53,10 @@
 		size = maxWhole
 	}
 	if size <= leastWhole || !q.handler.opts.Unread.Reserve(size) {
-		return exchange.ReadLimited(resp.Body, leastWhole)
+		return httpconn.ReadLimited(resp.Body, leastWhole)
 	}
 	q.room = size
-	return exchange.ReadLimited(resp.Body, maxWhole)
+	return httpconn.ReadLimited(resp.Body, maxWhole)
 }
 
 // freeRoom ends the reservation of room for a whole answer.
--- a/router/exchange/conn.go
+++ b/router/httpconn/conn.go
@@ -1,4 +1,4 @@
-package exchange
+package httpconn
 
 import (
 	"bufio"
--- a/router/exchange/pool.go
+++ b/router/httpconn/pool.go
@@ -1,7 +1,7 @@
 // Package exchange sends one HTTP/1.1 request on one connection to a target and
 // reads its answer. It keeps idle connections for reuse. It never repeats a
 // request by itself and says of each failure whether the target may have got it.
-package exchange
+package httpconn
 
 import (
 	"bufio"
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -9,7 +9,7 @@
 
 	log "github.com/sirupsen/logrus"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/logging"
 )
 
@@ -21,7 +21,7 @@
 	Address string
 	Domain  string
 	Version string // of its software
-	Pool    *exchange.Pool
+	Pool    *httpconn.Pool
 
 	slots  int
 	life   Incarnation
@@ -175,7 +175,7 @@
 func (r *Registry) add(e Entry) *Target {
 	t := &Target{
 		ID: e.ID, Service: e.Service, Address: e.Address, Domain: e.Domain, Version: e.Version, slots: max(e.Slots, 1), life: e.Incarnation(),
-		Pool: exchange.NewPool(exchange.Options{
+		Pool: httpconn.NewPool(httpconn.Options{
 			Address: e.Address, DialTimeout: r.opts.DialTimeout, IdleTimeout: r.opts.IdleTimeout,
 			MaxIdle: r.opts.MaxIdle, TCPUserTimeout: r.opts.UserTimeout, OnDial: r.opts.OnDial,
 		}),
