--- a/router/fleet/borrow.go
+++ b/router/fleet/borrow.go
@@ -26,9 +26,9 @@
 	return f.borrowFrom(ctx, f.addresses(), borrowTimeout, organisation, tokens, cost)
 }
 
-// Gather asks other keepers of a budget for so many of the tokens that they have, until ctx
+// BorrowFromKeepers asks other keepers of a budget for so many of the tokens that they have, until ctx
 // ends. Where a request asks all keepers anyway it asks nobody.
-func (f *Fleet) Gather(ctx context.Context, organisation string, tokens int64) prepaid.Loan {
+func (f *Fleet) BorrowFromKeepers(ctx context.Context, organisation string, tokens int64) prepaid.Loan {
 	count, _ := f.Keepers(organisation)
 	lenders := f.lenders(organisation)
 	if count <= borrowFrom || lenders == nil {
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -273,7 +273,7 @@
 		Hosts:             n.fleet.Size,
 		Keepers:           n.keepers,
 		Borrow:            n.fleet.Borrow,
-		BorrowFromKeepers: n.fleet.Gather,
+		BorrowFromKeepers: n.fleet.BorrowFromKeepers,
 		TransferIdle:      n.fleet.GiveBack,
 		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
 		FetchHistory:      n.fleet.History,
