--- a/router/fleet/gifts.go
+++ b/router/fleet/gifts.go
@@ -21,8 +21,8 @@
 	incarnation string // empty: not known yet
 }
 
-// GiveBack gives tokens to a keeper of the budget.
-func (f *Fleet) GiveBack(ctx context.Context, organisation string, tokens int64) bool {
+// TransferIdle gives tokens to a keeper of the budget.
+func (f *Fleet) TransferIdle(ctx context.Context, organisation string, tokens int64) bool {
 	return f.giveTo(ctx, f.peerHosts(f.lenders(organisation)), organisation, tokens)
 }
 
--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -42,7 +42,7 @@
 		tr := prepaid.New(prepaid.Options{
 			Log: l.log.Host(self.Name), Topic: "b", Partitions: 4, Host: fmt.Sprintf("%s/%d", self.Name, incarnation),
 			Sizing: prepaid.DefaultSizing, Timeout: time.Second, RefreshInterval: 400 * time.Millisecond, MaxWait: 150 * time.Millisecond,
-			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.GiveBack,
+			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.TransferIdle,
 		})
 		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
 		calls[self.Address] = f.Handler()
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -45,7 +45,7 @@
 		tr := prepaid.New(prepaid.Options{
 			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Sizing: prepaid.DefaultSizing,
 			Timeout: 100 * time.Millisecond, RefreshInterval: 400 * time.Millisecond, MaxWait: 100 * time.Millisecond,
-			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.GiveBack,
+			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.TransferIdle,
 		})
 		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
 		calls[self.Address] = f.Handler()
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -274,7 +274,7 @@
 		Keepers:           n.keepers,
 		Borrow:            n.fleet.Borrow,
 		BorrowFromKeepers: n.fleet.BorrowFromKeepers,
-		TransferIdle:      n.fleet.GiveBack,
+		TransferIdle:      n.fleet.TransferIdle,
 		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
 		FetchHistory:      n.fleet.History,
 		AllHostsLost:      n.fleet.AllLost,
