--- a/router/fleet/gifts.go
+++ b/router/fleet/gifts.go
@@ -26,8 +26,8 @@
 	return f.giveTo(ctx, f.peerHosts(f.lenders(organisation)), organisation, tokens)
 }
 
-// Give hands tokens over to another host.
-func (f *Fleet) Give(ctx context.Context, organisation string, tokens int64) bool {
+// Transfer hands tokens over to another host.
+func (f *Fleet) Transfer(ctx context.Context, organisation string, tokens int64) bool {
 	list := f.addresses()
 	if lenders := f.lenders(organisation); lenders != nil {
 		list = append(lenders, list...)
--- a/router/node/stop.go
+++ b/router/node/stop.go
@@ -112,7 +112,7 @@
 			log.WithError(err).Warn("free tokens not given back to the log")
 		}
 	}
-	n.treasury.TransferAll(c, n.fleet.Give)
+	n.treasury.TransferAll(c, n.fleet.Transfer)
 	if !up {
 		return
 	}
