--- a/router/fleet/alllost_test.go
+++ b/router/fleet/alllost_test.go
@@ -63,7 +63,7 @@
 				heard(f, c.end, c.found...)
 				time.Sleep(time.Second)
 				heard(f, c.end+10, c.then...)
-				is.Equal(f.AllLost(), c.lost)
+				is.Equal(f.AllHostsLost(), c.lost)
 			})
 		})
 	}
@@ -79,7 +79,7 @@
 			for n := range int64(10) {
 				time.Sleep(4 * time.Second) // no host announces itself more often
 				heard(f, end+3*(n+1), beat(1, "new", n+1), beat(2, "new", n+1))
-				is.Equal(f.AllLost(), lost)
+				is.Equal(f.AllHostsLost(), lost)
 			}
 		})
 	}
--- a/router/fleet/loss.go
+++ b/router/fleet/loss.go
@@ -22,9 +22,9 @@
 	lostFor = 200 * time.Millisecond
 )
 
-// AllLost says whether all hosts were lost shortly before this one started, as far as their
+// AllHostsLost says whether all hosts were lost shortly before this one started, as far as their
 // announcements tell.
-func (f *Fleet) AllLost() bool {
+func (f *Fleet) AllHostsLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now := time.Now(); now.Sub(f.lostAt) > lostFor {
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -277,7 +277,7 @@
 		TransferIdle:      n.fleet.TransferIdle,
 		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
 		FetchHistory:      n.fleet.History,
-		AllHostsLost:      n.fleet.AllLost,
+		AllHostsLost:      n.fleet.AllHostsLost,
 		LogAvailable:      func() bool { up, _ := n.configCopy.Up(); return up },
 		OnCall:            func(outcome string) { n.observer.Count(fmt.Sprintf("budget_appends_total{outcome=%q}", outcome)) },
 	})
