--- a/router/fleet/history.go
+++ b/router/fleet/history.go
@@ -18,9 +18,9 @@
 	Lowered map[string]int64 `json:"lowered,omitempty"` // only versions above the one asked for
 }
 
-// History asks one other host, drawn anew each time, what it saw of the limits of budgets
+// FetchHistory asks one other host, drawn anew each time, what it saw of the limits of budgets
 // since a version.
-func (f *Fleet) History(ctx context.Context, since int64) (h prepaid.LimitHistory, ok bool) {
+func (f *Fleet) FetchHistory(ctx context.Context, since int64) (h prepaid.LimitHistory, ok bool) {
 	addresses := f.addresses()
 	f.mu.Lock()
 	addresses = f.silentLast(addresses)
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -276,7 +276,7 @@
 		BorrowFromKeepers: n.fleet.BorrowFromKeepers,
 		TransferIdle:      n.fleet.TransferIdle,
 		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
-		FetchHistory:      n.fleet.History,
+		FetchHistory:      n.fleet.FetchHistory,
 		AllHostsLost:      n.fleet.AllHostsLost,
 		LogAvailable:      func() bool { up, _ := n.configCopy.Up(); return up },
 		OnCall:            func(outcome string) { n.observer.Count(fmt.Sprintf("budget_appends_total{outcome=%q}", outcome)) },
