--- a/router/target/choose.go
+++ b/router/target/choose.go
@@ -10,8 +10,8 @@
 	"maststage.dev/router/routing"
 )
 
-// Want is what a request asks of a target.
-type Want struct {
+// Requirements is what a request asks of a target.
+type Requirements struct {
 	Service  string
 	Affinity string // shared parts of the prompt; empty: none
 	Work     float64
@@ -35,7 +35,7 @@
 
 // Choose picks a target, nil if none can take the request. A choice counts against what a
 // cold target or one that names a limit bears.
-func (r *Registry) Choose(w Want) *Target {
+func (r *Registry) Choose(w Requirements) *Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -50,14 +50,14 @@
 }
 
 // HasChoice says whether a target could take the request.
-func (r *Registry) HasChoice(w Want) bool {
+func (r *Registry) HasChoice(w Requirements) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.usable(w, time.Now())) > 0
 }
 
 // choose picks a target; the lock is held.
-func (r *Registry) choose(w Want, now time.Time) *Target {
+func (r *Registry) choose(w Requirements, now time.Time) *Target {
 	usable, spared := r.candidates(w, now)
 	usable = r.onTrial(w, usable)
 	if r.rationed(w, usable, now) || len(usable) == 0 {
@@ -78,7 +78,7 @@
 }
 
 // usable lists the targets that may take the request.
-func (r *Registry) usable(w Want, now time.Time) []*Target {
+func (r *Registry) usable(w Requirements, now time.Time) []*Target {
 	usable, _ := r.candidates(w, now)
 	return usable
 }
@@ -88,7 +88,7 @@
 // ago. Evacuated targets are never among them, nor those of regions or versions that are not allowed,
 // nor those that name a limit and have enough, nor the cold ones that have enough, which are listed
 // apart.
-func (r *Registry) candidates(w Want, now time.Time) (usable, spared []*Target) {
+func (r *Registry) candidates(w Requirements, now time.Time) (usable, spared []*Target) {
 	all := r.services[w.Service]
 	good := make([]*Target, 0, len(all))
 	var ejected, leaving []*Target
@@ -121,7 +121,7 @@
 }
 
 // mayServe says whether a target is one that the request may go to at all; the lock is held.
-func (r *Registry) mayServe(w Want, t *Target, now time.Time) bool {
+func (r *Registry) mayServe(w Requirements, t *Target, now time.Time) bool {
 	return !w.Exclude[t.ID] && !r.evacuations[t.Domain].left(t.ID, now) && w.Regions.Has(r.opts.Regions[t.Domain]) && w.Versions.Allows(t.Version)
 }
 
@@ -139,7 +139,7 @@
 
 // byAffinity picks the target that ranks first for the prompt's shared parts
 // among those that are not much busier than the rest.
-func (r *Registry) byAffinity(w Want, usable []*Target, now time.Time) *Target {
+func (r *Registry) byAffinity(w Requirements, usable []*Target, now time.Time) *Target {
 	stats := r.statsOf(w.Service)
 	loads := make([]float64, len(usable))
 	total := 0.0
--- a/router/target/choose_bench_test.go
+++ b/router/target/choose_bench_test.go
@@ -22,7 +22,7 @@
 				h.targets.LearnLimit(limit.Notice{Target: fmt.Sprint("t", i), PerSecond: 5, InForce: true})
 			}
 			for b.Loop() {
-				c := h.targets.Choose(target.Want{Service: "s"})
+				c := h.targets.Choose(target.Requirements{Service: "s"})
 				h.targets.Begin(c, 0)
 				h.targets.End(c, 0, target.Succeeded)
 			}
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -107,7 +107,7 @@
 			if learn[h] == i {
 				h.knows(fresh)
 			}
-			if c := h.targets.Choose(target.Want{Service: "s"}); c != nil {
+			if c := h.targets.Choose(target.Requirements{Service: "s"}); c != nil {
 				h.targets.Begin(c, 0)
 				sent = append(sent, time.Now())
 			}
@@ -124,9 +124,9 @@
 		is := is.New(t)
 		h := newHost("front-1")
 		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdLeft: time.Minute})
-		is.Equal(h.targets.Choose(target.Want{Service: "s"}), nil)
+		is.Equal(h.targets.Choose(target.Requirements{Service: "s"}), nil)
 		time.Sleep(7 * time.Second)
-		is.True(h.targets.Choose(target.Want{Service: "s"}) != nil)
+		is.True(h.targets.Choose(target.Requirements{Service: "s"}) != nil)
 	})
 }
 
@@ -137,10 +137,10 @@
 	r.SetCold("s", target.ColdLimits{PerSecond: 1})
 	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
 	for range 3 {
-		is.True(r.HasChoice(target.Want{Service: "s"}))
+		is.True(r.HasChoice(target.Requirements{Service: "s"}))
 	}
-	is.True(r.Choose(target.Want{Service: "s"}) != nil)
-	is.True(!r.HasChoice(target.Want{Service: "s"}))
+	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
+	is.True(!r.HasChoice(target.Requirements{Service: "s"}))
 }
 
 // A cold target whose entry lapsed is spared as well, though no other is left.
@@ -150,6 +150,6 @@
 	r.SetCold("s", target.ColdLimits{PerSecond: 1})
 	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
 	r.Remove("t")
-	is.True(r.Choose(target.Want{Service: "s"}) != nil)
-	is.Equal(r.Choose(target.Want{Service: "s"}), nil)
+	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
+	is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
 }
--- a/router/target/ended_test.go
+++ b/router/target/ended_test.go
@@ -21,7 +21,7 @@
 	}
 	t.Cleanup(b.Close)
 	r := newRegistry(Entry{ID: "t1", Service: "s", Address: b.Address(), Domain: "z1", Slots: 4})
-	return r, r.Choose(Want{Service: "s"}), b
+	return r, r.Choose(Requirements{Service: "s"}), b
 }
 
 func TestEndOfATargetIsSeen(t *testing.T) {
--- a/router/target/evacuate_test.go
+++ b/router/target/evacuate_test.go
@@ -13,16 +13,16 @@
 	is := is.New(t)
 	r := newRegistry(entry("a1", "z1"), entry("a2", "z1"), entry("b", "z2"))
 	r.Evacuate("z1", 0)
-	is.Equal(chosen(r, Want{Service: "s"}, 6), map[string]int{"b": 6})
-	is.Equal(chosen(r, Want{Service: "s", Affinity: "p"}, 60), map[string]int{"b": 60})
+	is.Equal(chosen(r, Requirements{Service: "s"}, 6), map[string]int{"b": 6})
+	is.Equal(chosen(r, Requirements{Service: "s", Affinity: "p"}, 60), map[string]int{"b": 60})
 
 	// Not even as a last resort: where the rest was tried, is ejected or has left.
-	is.Equal(r.Choose(Want{Service: "s", Exclude: map[string]bool{"b": true}}), nil)
-	is.True(!r.HasChoice(Want{Service: "s", Exclude: map[string]bool{"b": true}}))
+	is.Equal(r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}}), nil)
+	is.True(!r.HasChoice(Requirements{Service: "s", Exclude: map[string]bool{"b": true}}))
 	r.Remove("b")
-	is.Equal(chosen(r, Want{Service: "s"}, 1), map[string]int{"b": 1}) // it left a moment ago
+	is.Equal(chosen(r, Requirements{Service: "s"}, 1), map[string]int{"b": 1}) // it left a moment ago
 	r.Evacuate("z2", 0)
-	is.Equal(r.Choose(Want{Service: "s"}), nil)
+	is.Equal(r.Choose(Requirements{Service: "s"}), nil)
 }
 
 func TestEvacuationsOverlap(t *testing.T) {
@@ -32,13 +32,13 @@
 	r.Evacuate("z2", 0)
 	r.Evacuate("z1", 0) // told again
 	is.Equal(r.Evacuated(), 2)
-	is.Equal(r.Choose(Want{Service: "s"}), nil)
+	is.Equal(r.Choose(Requirements{Service: "s"}), nil)
 	r.EndEvacuation("z1")
-	is.Equal(chosen(r, Want{Service: "s"}, 3), map[string]int{"a": 3})
+	is.Equal(chosen(r, Requirements{Service: "s"}, 3), map[string]int{"a": 3})
 	r.EndEvacuation("z1")
 	r.EndEvacuation("z2")
 	is.Equal(r.Evacuated(), 0)
-	is.True(chosen(r, Want{Service: "s"}, 20)["b"] > 5)
+	is.True(chosen(r, Requirements{Service: "s"}, 20)["b"] > 5)
 }
 
 // A domain that no target of this host's list is in may get some later.
@@ -47,7 +47,7 @@
 	r := newRegistry(entry("b", "z2"))
 	r.Evacuate("z1", 0)
 	r.Put(entry("a", "z1"))
-	is.Equal(chosen(r, Want{Service: "s"}, 6), map[string]int{"b": 6})
+	is.Equal(chosen(r, Requirements{Service: "s"}, 6), map[string]int{"b": 6})
 }
 
 // Targets that rested come back cold, which their entries tell only later.
@@ -57,7 +57,7 @@
 	r.SetCold("s", ColdLimits{PerSecond: 3, Lasts: time.Minute})
 	r.Evacuate("z1", 0)
 	r.EndEvacuation("z1")
-	is.Equal(chosen(r, Want{Service: "s"}, 3), map[string]int{"a": 1, "none": 2})
+	is.Equal(chosen(r, Requirements{Service: "s"}, 3), map[string]int{"a": 1, "none": 2})
 }
 
 // The targets of a domain leave one after the other, at all hosts in the same order, and all
@@ -75,13 +75,13 @@
 		}
 		before := len(entries)
 		for range 20 {
-			left := a.usable(Want{Service: "s"}, time.Now())
-			is.Equal(ids(left), ids(b.usable(Want{Service: "s"}, time.Now())))
+			left := a.usable(Requirements{Service: "s"}, time.Now())
+			is.Equal(ids(left), ids(b.usable(Requirements{Service: "s"}, time.Now())))
 			is.True(before-len(left) <= 8) // few at a time
 			before = len(left)
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.Equal(len(a.usable(Want{Service: "s"}, time.Now())), 0)
+		is.Equal(len(a.usable(Requirements{Service: "s"}, time.Now())), 0)
 	})
 }
 
--- a/router/target/life_test.go
+++ b/router/target/life_test.go
@@ -20,7 +20,7 @@
 func TestTargetStartsAgainUnderItsID(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(bornAt(1000), entry("b", "z1"))
-	old := r.Choose(Want{Service: "s", Exclude: map[string]bool{"b": true}})
+	old := r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}})
 	for range 3 {
 		r.Begin(old, 100)
 		r.End(old, 100, Broken)
@@ -35,7 +35,7 @@
 	r.Put(bornAt(2000))
 	is.Equal(r.Total(), 2)
 	is.True(!r.Ejected("a", time.Now()))
-	now := r.Choose(Want{Service: "s", Exclude: map[string]bool{"b": true}})
+	now := r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}})
 	is.True(now != old)
 	is.Equal(now.outstanding, 0)
 	is.True(now.Pool != old.Pool)
@@ -56,9 +56,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := newRegistry(bornAt(c.before))
-			old := r.Choose(Want{Service: "s"})
+			old := r.Choose(Requirements{Service: "s"})
 			r.Put(bornAt(c.next))
-			is.Equal(r.Choose(Want{Service: "s"}) != old, c.another)
+			is.Equal(r.Choose(Requirements{Service: "s"}) != old, c.another)
 		})
 	}
 }
@@ -67,10 +67,10 @@
 func TestStartIsRememberedOverEntriesWithoutOne(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(bornAt(1000))
-	old := r.Choose(Want{Service: "s"})
+	old := r.Choose(Requirements{Service: "s"})
 	r.Put(bornAt(0))
 	r.Put(bornAt(2000))
-	is.True(r.Choose(Want{Service: "s"}) != old)
+	is.True(r.Choose(Requirements{Service: "s"}) != old)
 }
 
 // A target that ended is passed over while others are there, and not ejected for good.
@@ -80,6 +80,6 @@
 	b.Close()
 	is.True(r.Ended(t.Context(), target))
 	r.Put(entry("other", "z1"))
-	is.Equal(chosen(r, Want{Service: "s"}, 20), map[string]int{"other": 20})
-	is.Equal(r.Choose(Want{Service: "s", Exclude: map[string]bool{"other": true}}), target)
+	is.Equal(chosen(r, Requirements{Service: "s"}, 20), map[string]int{"other": 20})
+	is.Equal(r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"other": true}}), target)
 }
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -121,7 +121,7 @@
 // chosenIn counts how often the only target of a service is chosen in a time.
 func chosenIn(r *target.Registry, d time.Duration, said limit.Statement) (n int) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if t := r.Choose(target.Want{Service: "s"}); t != nil {
+		if t := r.Choose(target.Requirements{Service: "s"}); t != nil {
 			n++
 			r.StateLimit(t, said)
 		}
@@ -234,13 +234,13 @@
 		is := is.New(t)
 		r := newLimited("t0", "t1", "t2", "t3")
 		for range 4 { // each names 5 a second
-			r.StateLimit(r.Choose(target.Want{Service: "s"}), named(5))
+			r.StateLimit(r.Choose(target.Requirements{Service: "s"}), named(5))
 		}
 		asked, served := map[int]int{}, map[int]int{}
 		for range 6000 { // a minute: 10 urgent requests a second, 30 and 30 others
 			rank := []int{0, 3, 7}[weighted(10, 30, 30)]
 			asked[rank]++
-			if c := r.Choose(target.Want{Service: "s", Rank: rank}); c != nil {
+			if c := r.Choose(target.Requirements{Service: "s", Rank: rank}); c != nil {
 				served[rank]++
 				r.StateLimit(c, named(5))
 			}
@@ -276,19 +276,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newLimited("t")
-		r.StateLimit(r.Choose(target.Want{Service: "s"}), named(2))
+		r.StateLimit(r.Choose(target.Requirements{Service: "s"}), named(2))
 		var last time.Duration
 		for range 5 {
-			is.Equal(r.Choose(target.Want{Service: "s"}), nil)
-			full, ok := r.FullFor(target.Want{Service: "s"})
+			is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
+			full, ok := r.FullFor(target.Requirements{Service: "s"})
 			is.True(ok)
 			is.True(full.After >= last+400*time.Millisecond)
 			last = full.After
 		}
-		urgent, _ := r.FullFor(target.Want{Service: "s", Rank: 0})
-		later, _ := r.FullFor(target.Want{Service: "s", Rank: 5})
+		urgent, _ := r.FullFor(target.Requirements{Service: "s", Rank: 0})
+		later, _ := r.FullFor(target.Requirements{Service: "s", Rank: 5})
 		is.True(urgent.After > 0 && later.After > 0)
-		_, other := r.FullFor(target.Want{Service: "other"})
+		_, other := r.FullFor(target.Requirements{Service: "other"})
 		is.True(!other)
 	})
 }
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -47,7 +47,7 @@
 	perHost float64 // requests a second at each host
 	answers []pendingAnswer
 	topic   []topicRecord
-	want    target.Want
+	want    target.Requirements
 	refused []target.Full // what requests that found no target were told
 	told    time.Time     // when all hosts were told of each other
 	served  int
@@ -111,7 +111,7 @@
 func newLimitFleet(t *testing.T, seed uint64, hostCount, targetCount int, perHost float64) *limitFleet {
 	stop, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	f := &limitFleet{random: rand.New(rand.NewPCG(seed, 1)), perHost: perHost, stop: stop, want: target.Want{Service: "s"}}
+	f := &limitFleet{random: rand.New(rand.NewPCG(seed, 1)), perHost: perHost, stop: stop, want: target.Requirements{Service: "s"}}
 	for i := range targetCount {
 		f.targets = append(f.targets, &limitedTarget{id: fmt.Sprintf("t%d", i)})
 	}
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -27,7 +27,7 @@
 	line [ranks]time.Time // when the last request that was turned away may come back
 }
 
-func rankOf(w Want) int { return min(max(w.Rank, 0), ranks-1) }
+func rankOf(w Requirements) int { return min(max(w.Rank, 0), ranks-1) }
 
 // note counts a request.
 func (q *ration) note(rank int, now time.Time) {
@@ -78,7 +78,7 @@
 
 // rationed says whether a request has to give way to more urgent ones, since all targets that may take
 // it name limits. The lock is held.
-func (r *Registry) rationed(w Want, usable []*Target, now time.Time) bool {
+func (r *Registry) rationed(w Requirements, usable []*Target, now time.Time) bool {
 	for _, t := range usable {
 		if !t.limit.inForce {
 			return false
@@ -95,7 +95,7 @@
 
 // allLimited says whether there are ready targets that a request may go to, and all of them name
 // limits. The lock is held.
-func (r *Registry) allLimited(w Want, now time.Time) bool {
+func (r *Registry) allLimited(w Requirements, now time.Time) bool {
 	limited := false
 	for _, t := range r.services[w.Service] {
 		if !t.listed || t.state != Ready || !r.mayServe(w, t, now) {
@@ -141,7 +141,7 @@
 }
 
 // FullFor says whether a request finds no target since those that could take it name limits.
-func (r *Registry) FullFor(w Want) (f Full, full bool) {
+func (r *Registry) FullFor(w Requirements) (f Full, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -159,7 +159,7 @@
 
 // HasPlaces says whether this host may send requests, though not now, where all targets that could
 // take one name limits.
-func (r *Registry) HasPlaces(w Want) bool {
+func (r *Registry) HasPlaces(w Requirements) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own, _ := r.places(w.Service)
--- a/router/target/region_test.go
+++ b/router/target/region_test.go
@@ -21,13 +21,13 @@
 func TestOnlyAllowedRegionsAreChosen(t *testing.T) {
 	is := is.New(t)
 	r := threeRegions()
-	is.Equal(chosen(r, Want{Service: "s", Regions: routing.Regions{"south"}}, 50), map[string]int{"s": 50})
-	is.Equal(chosen(r, Want{Service: "s", Affinity: "p", Regions: routing.Regions{"west"}}, 50), map[string]int{"w": 50})
-	is.Equal(chosen(r, Want{Service: "s", Regions: routing.Regions{"east"}}, 1), map[string]int{"none": 1})
-	is.Equal(chosen(r, Want{Service: "s", Regions: routing.Regions{}}, 1), map[string]int{"none": 1})
-	gone := Want{Service: "s", Regions: routing.Regions{"south"}, Exclude: map[string]bool{"s": true}}
+	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{"south"}}, 50), map[string]int{"s": 50})
+	is.Equal(chosen(r, Requirements{Service: "s", Affinity: "p", Regions: routing.Regions{"west"}}, 50), map[string]int{"w": 50})
+	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{"east"}}, 1), map[string]int{"none": 1})
+	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{}}, 1), map[string]int{"none": 1})
+	gone := Requirements{Service: "s", Regions: routing.Regions{"south"}, Exclude: map[string]bool{"s": true}}
 	is.True(!r.HasChoice(gone))
-	is.Equal(len(chosen(threeRegions(), Want{Service: "s"}, 40)), 4) // without a restriction all serve
+	is.Equal(len(chosen(threeRegions(), Requirements{Service: "s"}, 40)), 4) // without a restriction all serve
 }
 
 // A region whose domains move elsewhere by the settings is not the allowed one any more.
@@ -35,8 +35,8 @@
 	is := is.New(t)
 	r := threeRegions()
 	r.SetRegions(map[string]string{"z1": "north", "z2": "west"})
-	is.True(!r.HasChoice(Want{Service: "s", Regions: routing.Regions{"south"}}))
-	is.Equal(chosen(r, Want{Service: "s", Regions: routing.Regions{"west"}}, 1), map[string]int{"s": 1})
+	is.True(!r.HasChoice(Requirements{Service: "s", Regions: routing.Regions{"south"}}))
+	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{"west"}}, 1), map[string]int{"s": 1})
 }
 
 // Of equally busy targets the own domain comes first, then the own region.
@@ -45,6 +45,6 @@
 	r := newRegistry(entry("far", "z3"), entry("near", "z2"), entry("own", "z1"))
 	r.SetRegions(map[string]string{"z1": "north", "z2": "north", "z3": "south"})
 	for _, want := range []string{"own", "near", "own", "near", "far"} { // but not at any price
-		is.Equal(chosen(r, Want{Service: "s"}, 1), map[string]int{want: 1})
+		is.Equal(chosen(r, Requirements{Service: "s"}, 1), map[string]int{want: 1})
 	}
 }
--- a/router/target/slow_test.go
+++ b/router/target/slow_test.go
@@ -12,7 +12,7 @@
 func oneCaller(r *Registry, span time.Duration, latency func(id string) time.Duration) map[string]int {
 	got := map[string]int{}
 	for end := time.Now().Add(span); time.Now().Before(end); {
-		t := r.Choose(Want{Service: "s"})
+		t := r.Choose(Requirements{Service: "s"})
 		r.Begin(t, 0)
 		took := latency(t.ID)
 		time.Sleep(took)
--- a/router/target/stall.go
+++ b/router/target/stall.go
@@ -47,7 +47,7 @@
 
 // isLong says whether a request's prompt is much longer than others of its service; the
 // lock is held.
-func (r *Registry) isLong(w Want) bool {
+func (r *Registry) isLong(w Requirements) bool {
 	mean := r.statsOf(w.Service).prompt
 	return mean > 0 && w.Work > longPrompt*mean
 }
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -31,7 +31,7 @@
 }
 
 // chosen counts the choices of n requests that all stay under way.
-func chosen(r *Registry, w Want, n int) map[string]int {
+func chosen(r *Registry, w Requirements, n int) map[string]int {
 	counts := map[string]int{}
 	for range n {
 		t := r.Choose(w)
@@ -48,20 +48,20 @@
 func TestOwnWorkCountsAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"), entry("b", "z1"), entry("c", "z1"))
-	got := chosen(r, Want{Service: "s"}, 9)
+	got := chosen(r, Requirements{Service: "s"}, 9)
 	is.Equal(got, map[string]int{"a": 3, "b": 3, "c": 3})
 }
 
 func TestOwnFailureDomainFirst(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(entry("near", "z1"), entry("far", "z2"))
-	is.Equal(chosen(r, Want{Service: "s"}, 1), map[string]int{"near": 1})
-	is.Equal(chosen(r, Want{Service: "s"}, 5)["far"], 3) // but not at any price
+	is.Equal(chosen(r, Requirements{Service: "s"}, 1), map[string]int{"near": 1})
+	is.Equal(chosen(r, Requirements{Service: "s"}, 5)["far"], 3) // but not at any price
 }
 
 func TestUnknownService(t *testing.T) {
 	is := is.New(t)
-	is.Equal(newRegistry(entry("a", "z1")).Choose(Want{Service: "other"}), nil)
+	is.Equal(newRegistry(entry("a", "z1")).Choose(Requirements{Service: "other"}), nil)
 }
 
 func TestLeavingTargetGetsNothingNew(t *testing.T) {
@@ -73,7 +73,7 @@
 			is := is.New(t)
 			r := newRegistry(entry("a", "z1"), entry("b", "z2"))
 			leave(r)
-			is.Equal(chosen(r, Want{Service: "s"}, 4), map[string]int{"b": 4})
+			is.Equal(chosen(r, Requirements{Service: "s"}, 4), map[string]int{"b": 4})
 			is.Equal(r.Count("s"), 1)
 		})
 	}
@@ -85,16 +85,16 @@
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"))
 	r.Remove("a")
-	is.True(r.Choose(Want{Service: "s"}) != nil)
+	is.True(r.Choose(Requirements{Service: "s"}) != nil)
 	time.Sleep(60 * time.Millisecond)
-	is.Equal(r.Choose(Want{Service: "s"}), nil)
+	is.Equal(r.Choose(Requirements{Service: "s"}), nil)
 	// Being told again that it leaves gives it no new time.
 	e := entry("a", "z1")
 	e.State = Draining
 	r.Put(e)
-	is.Equal(r.Choose(Want{Service: "s"}), nil)
+	is.Equal(r.Choose(Requirements{Service: "s"}), nil)
 	r.Put(entry("a", "z1")) // listed as ready again
-	is.True(r.Choose(Want{Service: "s"}) != nil)
+	is.True(r.Choose(Requirements{Service: "s"}) != nil)
 }
 
 func TestAddressOfAnotherIncarnation(t *testing.T) {
@@ -103,7 +103,7 @@
 	e := entry("a", "z1")
 	e.Address = "127.0.0.1:2"
 	r.Put(e)
-	is.Equal(r.Choose(Want{Service: "s"}).Address, "127.0.0.1:2")
+	is.Equal(r.Choose(Requirements{Service: "s"}).Address, "127.0.0.1:2")
 	is.Equal(r.Total(), 1)
 }
 
@@ -122,7 +122,7 @@
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"), entry("b", "z1"), entry("c", "z1"))
 	fail(r, "a", Broken, 2)
-	is.Equal(chosen(r, Want{Service: "s"}, 4)["a"], 0)
+	is.Equal(chosen(r, Requirements{Service: "s"}, 4)["a"], 0)
 }
 
 func TestGreyTargetIsEjected(t *testing.T) {
@@ -133,7 +133,7 @@
 		fail(r, "b", Succeeded, 1)
 		fail(r, "c", Succeeded, 1)
 	}
-	is.Equal(chosen(r, Want{Service: "s"}, 4)["a"], 0)
+	is.Equal(chosen(r, Requirements{Service: "s"}, 4)["a"], 0)
 }
 
 // When all targets fail alike, it is the requests and not the targets.
@@ -145,7 +145,7 @@
 			fail(r, id, Errored, 1)
 		}
 	}
-	is.Equal(len(chosen(r, Want{Service: "s"}, 9)), 3)
+	is.Equal(len(chosen(r, Requirements{Service: "s"}, 9)), 3)
 }
 
 func TestMostTargetsStay(t *testing.T) {
@@ -158,37 +158,37 @@
 	for i := range 10 {
 		fail(r, fmt.Sprint(i), Broken, 2)
 	}
-	is.Equal(len(r.usable(Want{Service: "s"}, time.Now())), 5)
+	is.Equal(len(r.usable(Requirements{Service: "s"}, time.Now())), 5)
 }
 
 func TestEjectedTargetIsBetterThanNone(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"), entry("b", "z1"))
 	fail(r, "a", Broken, 2)
-	is.Equal(r.Choose(Want{Service: "s", Exclude: map[string]bool{"b": true}}).ID, "a")
-	is.Equal(r.Choose(Want{Service: "s", Exclude: map[string]bool{"a": true, "b": true}}), nil)
+	is.Equal(r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}}).ID, "a")
+	is.Equal(r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"a": true, "b": true}}), nil)
 }
 
 func TestFullTargetIsLeftAloneForAMoment(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"), entry("b", "z2"))
 	fail(r, "a", Refused, 1)
-	is.Equal(r.Choose(Want{Service: "s"}).ID, "b")
+	is.Equal(r.Choose(Requirements{Service: "s"}).ID, "b")
 }
 
 // A target that has requests and sends nothing on any of them is left alone.
 func TestQuietTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"), entry("b", "z2"))
-	dark := r.Choose(Want{Service: "s"})
+	dark := r.Choose(Requirements{Service: "s"})
 	is.Equal(dark.ID, "a")
 	r.Begin(dark, 0)
 	later := time.Now().Add(quietTime + time.Millisecond)
-	is.Equal(r.usable(Want{Service: "s"}, later)[0].ID, "b")
+	is.Equal(r.usable(Requirements{Service: "s"}, later)[0].ID, "b")
 	dark.Heard(later)
-	is.Equal(len(r.usable(Want{Service: "s"}, later)), 2)
+	is.Equal(len(r.usable(Requirements{Service: "s"}, later)), 2)
 	r.End(dark, 0, Succeeded)
-	is.Equal(len(r.usable(Want{Service: "s"}, later.Add(time.Hour))), 2) // nothing is under way
+	is.Equal(len(r.usable(Requirements{Service: "s"}, later.Add(time.Hour))), 2) // nothing is under way
 }
 
 func TestSharedPartsGoToOneTarget(t *testing.T) {
@@ -198,12 +198,12 @@
 		entries = append(entries, entry(fmt.Sprint(i), "z1"))
 	}
 	r := newRegistry(entries...)
-	first := r.Choose(Want{Service: "s", Affinity: "x:1"}).ID
+	first := r.Choose(Requirements{Service: "s", Affinity: "x:1"}).ID
 	for range 20 {
-		is.Equal(r.Choose(Want{Service: "s", Affinity: "x:1"}).ID, first)
+		is.Equal(r.Choose(Requirements{Service: "s", Affinity: "x:1"}).ID, first)
 	}
 	// But not when it is much busier than the rest.
-	got := chosen(r, Want{Service: "s", Affinity: "x:1"}, 60)
+	got := chosen(r, Requirements{Service: "s", Affinity: "x:1"}, 60)
 	is.True(got[first] < 40)
 	is.True(got[first] > 60/6)
 }
@@ -223,7 +223,7 @@
 		}
 	}
 	r.updateMedian("s", time.Now().Add(time.Second))
-	got := chosen(r, Want{Service: "s"}, 12)
+	got := chosen(r, Requirements{Service: "s"}, 12)
 	is.True(got["slow"] <= 2)
 }
 
@@ -251,13 +251,13 @@
 	r.Put(gone)
 	r.Remove("t1")
 	r.Remove("t2")
-	is.True(r.Choose(Want{Service: "s"}) != nil) // nothing else is left, and it may still serve
+	is.True(r.Choose(Requirements{Service: "s"}) != nil) // nothing else is left, and it may still serve
 	now := time.Now().Add(2 * time.Second)
 	r.Sweep(now)
 	time.Sleep(20 * time.Millisecond)
-	is.True(r.Choose(Want{Service: "s"}) == nil)
+	is.True(r.Choose(Requirements{Service: "s"}) == nil)
 	r.Put(back)
-	chosen := r.Choose(Want{Service: "s"})
+	chosen := r.Choose(Requirements{Service: "s"})
 	is.Equal(chosen.ID, "t1")
 	conn, err := chosen.Pool.Get(context.Background(), time.Second)
 	is.NoErr(err)
@@ -273,5 +273,5 @@
 	leaving := entry("a", "z1")
 	leaving.State = Draining
 	r := newRegistry(leaving)
-	is.True(r.Choose(Want{Service: "s"}) == nil)
+	is.True(r.Choose(Requirements{Service: "s"}) == nil)
 }
--- a/router/target/trial.go
+++ b/router/target/trial.go
@@ -9,12 +9,12 @@
 
 // onTrial says whether the request is to show how a version does. Its targets are not passed over for
 // their failures then: those are what is to be found out, soon and once.
-func (w Want) onTrial() bool { return w.Versions.Only != "" && w.Versions.Share < 1 }
+func (w Requirements) onTrial() bool { return w.Versions.Only != "" && w.Versions.Share < 1 }
 
 // onTrial narrows the targets for a request that goes to a version on trial to a few, the same
 // ones at all hosts: they bear together the load that as many old ones have, so that what a
 // version does under load shows before the move. The lock is held.
-func (r *Registry) onTrial(w Want, usable []*Target) []*Target {
+func (r *Registry) onTrial(w Requirements, usable []*Target) []*Target {
 	if !w.onTrial() {
 		return usable
 	}
--- a/router/target/trial_test.go
+++ b/router/target/trial_test.go
@@ -26,7 +26,7 @@
 // all hosts; those of the old version have the load of as many.
 func TestTrialGoesToFewTargets(t *testing.T) {
 	is := is.New(t)
-	trial := Want{Service: "s", Versions: rollout.Rule{Only: "new", Share: 0.05}}
+	trial := Requirements{Service: "s", Versions: rollout.Rule{Only: "new", Share: 0.05}}
 	a, b := chosen(twoVersions(100), trial, 200), chosen(twoVersions(100), trial, 200)
 	is.Equal(len(a), rollout.Spread(100, 0.05))
 	domains := map[string]bool{}
@@ -35,14 +35,14 @@
 		domains[id[len(id)-1:]] = true
 	}
 	is.True(len(domains) > 1)
-	is.Equal(len(chosen(twoVersions(100), Want{Service: "s", Versions: rollout.Rule{Only: "new", Share: 1}}, 400)), 100)
+	is.Equal(len(chosen(twoVersions(100), Requirements{Service: "s", Versions: rollout.Rule{Only: "new", Share: 1}}, 400)), 100)
 }
 
 // A version that got nothing to do, or is barred, is not a last resort either.
 func TestBarredVersionIsNeverChosen(t *testing.T) {
 	is := is.New(t)
 	r := twoVersions(2)
-	barred := Want{Service: "s", Versions: rollout.Rule{Barred: []string{"new"}}}
+	barred := Requirements{Service: "s", Versions: rollout.Rule{Barred: []string{"new"}}}
 	is.Equal(chosen(r, barred, 20)["new0"]+chosen(r, barred, 20)["new1"], 0)
 	r.Remove("old0")
 	r.Remove("old1")
@@ -56,7 +56,7 @@
 func TestTrialIsNotEndedByEjection(t *testing.T) {
 	is := is.New(t)
 	r := twoVersions(8)
-	trial := Want{Service: "s", Versions: rollout.Rule{Only: "new", Share: 0.05}}
+	trial := Requirements{Service: "s", Versions: rollout.Rule{Only: "new", Share: 0.05}}
 	for range 40 {
 		target := r.Choose(trial)
 		is.True(target != nil)
@@ -71,10 +71,10 @@
 	e := entry("a", "z1")
 	e.Version = "old"
 	r := newRegistry(e)
-	before := r.Choose(Want{Service: "s"})
+	before := r.Choose(Requirements{Service: "s"})
 	e.Version = "new"
 	r.Put(e)
-	after := r.Choose(Want{Service: "s"})
+	after := r.Choose(Requirements{Service: "s"})
 	is.True(before != after)
 	is.Equal(after.Version, "new")
 }
