--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -169,7 +169,7 @@
 // want is what the request asks of a target as a repeat.
 func (q *request) want(excluded map[string]bool) target.Requirements {
 	return target.Requirements{
-		Service: q.service, Affinity: sharedParts(q.shared), Work: float64(q.usage.in), Exclude: excluded,
+		Service: q.service, Affinity: sharedParts(q.shared), PromptTokens: float64(q.usage.in), Exclude: excluded,
 		Rank:    q.rank(),
 		Regions: q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
 	}
--- a/router/target/choose.go
+++ b/router/target/choose.go
@@ -14,7 +14,7 @@
 type Requirements struct {
 	Service  string
 	Affinity string // shared parts of the prompt; empty: none
-	Work     float64
+	PromptTokens     float64
 	Exclude  map[string]bool // ids tried already
 	Versions rollout.Rule    // that a target may have
 	Rank     int             // of urgency, 0 comes first
--- a/router/target/stall.go
+++ b/router/target/stall.go
@@ -49,7 +49,7 @@
 // lock is held.
 func (r *Registry) isLong(w Requirements) bool {
 	mean := r.statsOf(w.Service).prompt
-	return mean > 0 && w.Work > longPrompt*mean
+	return mean > 0 && w.PromptTokens > longPrompt*mean
 }
 
 // Paused notes the time between two events of a stream of a target, and the longest that
--- a/router/target/stall_test.go
+++ b/router/target/stall_test.go
@@ -41,7 +41,7 @@
 	asked := func(work float64) map[*Target]bool {
 		chosen := map[*Target]bool{}
 		for i := range 200 {
-			chosen[r.Choose(Requirements{Service: "s", Work: work, Affinity: fmt.Sprint(i)})] = true
+			chosen[r.Choose(Requirements{Service: "s", PromptTokens: work, Affinity: fmt.Sprint(i)})] = true
 		}
 		return chosen
 	}
@@ -69,7 +69,7 @@
 	streams(r, all[2], 20*ms)
 	r.Paused(all[0], 310*ms, 300*ms)
 	others := map[string]bool{all[1].ID: true, all[2].ID: true}
-	is.Equal(r.Choose(Requirements{Service: "s", Work: 9000, Exclude: others}), all[0])
+	is.Equal(r.Choose(Requirements{Service: "s", PromptTokens: 9000, Exclude: others}), all[0])
 }
 
 // BenchmarkChoose measures the choice of a target for a long prompt with affinity.
@@ -83,7 +83,7 @@
 			prompts(r, r.services["s"][0])
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r.Choose(Requirements{Service: "s", Work: 9000, Affinity: "5c1e07a2,91bd3f06"})
+				r.Choose(Requirements{Service: "s", PromptTokens: 9000, Affinity: "5c1e07a2,91bd3f06"})
 			}
 		})
 	}
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -39,7 +39,7 @@
 			counts["none"]++
 			continue
 		}
-		r.Begin(t, w.Work)
+		r.Begin(t, w.PromptTokens)
 		counts[t.ID]++
 	}
 	return counts
