--- a/router/forward/limits_test.go
+++ b/router/forward/limits_test.go
@@ -119,7 +119,7 @@
 	config := b.handler.Config()
 	q := &request{handler: b.handler, config: config, route: config.Match("a.example", "/stream/x"), service: "engine"}
 	b.is.Equal(q.route.Priority, 1)
-	b.is.Equal(q.want(nil).Rank, 1)
+	b.is.Equal(q.want(nil).Priority, 1)
 	q.ran = 1
-	b.is.Equal(q.want(nil).Rank, 0)
+	b.is.Equal(q.want(nil).Priority, 0)
 }
--- a/router/target/choose.go
+++ b/router/target/choose.go
@@ -17,7 +17,7 @@
 	PromptTokens     float64
 	Exclude  map[string]bool // ids tried already
 	Versions rollout.Rule    // that a target may have
-	Rank     int             // of urgency, 0 comes first
+	Priority     int             // of urgency, 0 comes first
 	Regions  routing.Regions // in which a target may lie
 }
 
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -240,7 +240,7 @@
 		for range 6000 { // a minute: 10 urgent requests a second, 30 and 30 others
 			rank := []int{0, 3, 7}[weighted(10, 30, 30)]
 			asked[rank]++
-			if c := r.Choose(target.Requirements{Service: "s", Rank: rank}); c != nil {
+			if c := r.Choose(target.Requirements{Service: "s", Priority: rank}); c != nil {
 				served[rank]++
 				r.StateLimit(c, named(5))
 			}
@@ -285,8 +285,8 @@
 			is.True(full.After >= last+400*time.Millisecond)
 			last = full.After
 		}
-		urgent, _ := r.FullFor(target.Requirements{Service: "s", Rank: 0})
-		later, _ := r.FullFor(target.Requirements{Service: "s", Rank: 5})
+		urgent, _ := r.FullFor(target.Requirements{Service: "s", Priority: 0})
+		later, _ := r.FullFor(target.Requirements{Service: "s", Priority: 5})
 		is.True(urgent.After > 0 && later.After > 0)
 		_, other := r.FullFor(target.Requirements{Service: "other"})
 		is.True(!other)
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -27,7 +27,7 @@
 	line [ranks]time.Time // when the last request that was turned away may come back
 }
 
-func rankOf(w Requirements) int { return min(max(w.Rank, 0), ranks-1) }
+func rankOf(w Requirements) int { return min(max(w.Priority, 0), ranks-1) }
 
 // note counts a request.
 func (q *ration) note(rank int, now time.Time) {
