--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -118,7 +118,7 @@
 	}
 	others := maps.Clone(q.excluded)
 	others[target] = true
-	if !q.route.Repeatable() || !q.handler.opts.Targets.HasChoice(q.want(others)) {
+	if !q.route.Repeatable() || !q.handler.opts.Targets.HasCandidate(q.want(others)) {
 		return false
 	}
 	q.claimed = q.mayTryAgain(silent, true)
--- a/router/target/choose.go
+++ b/router/target/choose.go
@@ -49,8 +49,8 @@
 	return t
 }
 
-// HasChoice says whether a target could take the request.
-func (r *Registry) HasChoice(w Requirements) bool {
+// HasCandidate says whether a target could take the request.
+func (r *Registry) HasCandidate(w Requirements) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.usable(w, time.Now())) > 0
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -137,10 +137,10 @@
 	r.SetCold("s", target.ColdLimits{PerSecond: 1})
 	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
 	for range 3 {
-		is.True(r.HasChoice(target.Requirements{Service: "s"}))
+		is.True(r.HasCandidate(target.Requirements{Service: "s"}))
 	}
 	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
-	is.True(!r.HasChoice(target.Requirements{Service: "s"}))
+	is.True(!r.HasCandidate(target.Requirements{Service: "s"}))
 }
 
 // A cold target whose entry lapsed is spared as well, though no other is left.
--- a/router/target/evacuate_test.go
+++ b/router/target/evacuate_test.go
@@ -18,7 +18,7 @@
 
 	// Not even as a last resort: where the rest was tried, is ejected or has left.
 	is.Equal(r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}}), nil)
-	is.True(!r.HasChoice(Requirements{Service: "s", Exclude: map[string]bool{"b": true}}))
+	is.True(!r.HasCandidate(Requirements{Service: "s", Exclude: map[string]bool{"b": true}}))
 	r.Remove("b")
 	is.Equal(chosen(r, Requirements{Service: "s"}, 1), map[string]int{"b": 1}) // it left a moment ago
 	r.Evacuate("z2", 0)
--- a/router/target/region_test.go
+++ b/router/target/region_test.go
@@ -26,7 +26,7 @@
 	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{"east"}}, 1), map[string]int{"none": 1})
 	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{}}, 1), map[string]int{"none": 1})
 	gone := Requirements{Service: "s", Regions: routing.Regions{"south"}, Exclude: map[string]bool{"s": true}}
-	is.True(!r.HasChoice(gone))
+	is.True(!r.HasCandidate(gone))
 	is.Equal(len(chosen(threeRegions(), Requirements{Service: "s"}, 40)), 4) // without a restriction all serve
 }
 
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	r := threeRegions()
 	r.SetRegions(map[string]string{"z1": "north", "z2": "west"})
-	is.True(!r.HasChoice(Requirements{Service: "s", Regions: routing.Regions{"south"}}))
+	is.True(!r.HasCandidate(Requirements{Service: "s", Regions: routing.Regions{"south"}}))
 	is.Equal(chosen(r, Requirements{Service: "s", Regions: routing.Regions{"west"}}, 1), map[string]int{"s": 1})
 }
 
--- a/router/target/trial_test.go
+++ b/router/target/trial_test.go
@@ -47,7 +47,7 @@
 	r.Remove("old0")
 	r.Remove("old1")
 	barred.Exclude = map[string]bool{"old0": true, "old1": true}
-	is.True(!r.HasChoice(barred))
+	is.True(!r.HasCandidate(barred))
 	is.Equal(r.Versions("s"), map[string]int{"new": 2})
 }
 
