--- a/router/target/entry.go
+++ b/router/target/entry.go
@@ -17,7 +17,7 @@
 // Entry is a target as the platform lists it.
 type Entry struct {
 	ID       string
-	Born     time.Time // start of its process, zero: not told
+	StartedAt     time.Time // start of its process, zero: not told
 	Service  string
 	Address  string // IP:port
 	Domain   string // failure domain
@@ -36,10 +36,10 @@
 
 // Incarnation is the life that an entry tells of.
 func (e Entry) Incarnation() Incarnation {
-	if e.Born.IsZero() {
+	if e.StartedAt.IsZero() {
 		return Incarnation{ID: e.ID}
 	}
-	return Incarnation{ID: e.ID, Born: e.Born.UnixMilli()}
+	return Incarnation{ID: e.ID, Born: e.StartedAt.UnixMilli()}
 }
 
 // another says whether an entry of a later record tells of another life. Records come in the
--- a/router/target/life_test.go
+++ b/router/target/life_test.go
@@ -10,7 +10,7 @@
 func bornAt(ms int64) Entry {
 	e := entry("a", "z1")
 	if ms != 0 {
-		e.Born = time.UnixMilli(ms)
+		e.StartedAt = time.UnixMilli(ms)
 	}
 	return e
 }
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -176,13 +176,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := target.NewRegistry(target.Options{})
-		entry := target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, Born: time.Now()}
+		entry := target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, StartedAt: time.Now()}
 		r.Put(entry)
-		old := limit.Notice{Target: "t", Born: entry.Born.UnixMilli(), PerSecond: 1, InForce: true}
+		old := limit.Notice{Target: "t", Born: entry.StartedAt.UnixMilli(), PerSecond: 1, InForce: true}
 		r.LearnLimit(old)
 		is.Equal(len(r.Limits()), 1)
 		time.Sleep(time.Second)
-		entry.Born = time.Now()
+		entry.StartedAt = time.Now()
 		r.Put(entry)
 		is.Equal(len(r.Limits()), 0)
 		r.LearnLimit(old)
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -123,7 +123,7 @@
 		t = r.add(e)
 		log.WithFields(log.Fields{"target": e.Incarnation(), "service": e.Service, "address": e.Address, "domain": e.Domain, "version": e.Version}).Info("target listed")
 	}
-	if !e.Born.IsZero() {
+	if !e.StartedAt.IsZero() {
 		t.life = e.Incarnation()
 	}
 	t.slots = max(e.Slots, 1)
