--- a/router/target/entry.go
+++ b/router/target/entry.go
@@ -31,7 +31,7 @@
 // nothing of before, and what was learned of the life before says nothing of it.
 type Incarnation struct {
 	ID   string
-	Born int64 // Unix milliseconds, 0: not told
+	StartedAt int64 // Unix milliseconds, 0: not told
 }
 
 // Incarnation is the life that an entry tells of.
@@ -39,7 +39,7 @@
 	if e.StartedAt.IsZero() {
 		return Incarnation{ID: e.ID}
 	}
-	return Incarnation{ID: e.ID, Born: e.StartedAt.UnixMilli()}
+	return Incarnation{ID: e.ID, StartedAt: e.StartedAt.UnixMilli()}
 }
 
 // another says whether an entry of a later record tells of another life. Records come in the
@@ -47,14 +47,14 @@
 // one, too. An entry that does not tell a start is taken for the life that is known, and the
 // first one that does names it.
 func (i Incarnation) another(next Incarnation) bool {
-	return i.Born != 0 && next.Born != 0 && i.Born != next.Born
+	return i.StartedAt != 0 && next.StartedAt != 0 && i.StartedAt != next.StartedAt
 }
 
 func (i Incarnation) String() string {
-	if i.Born == 0 {
+	if i.StartedAt == 0 {
 		return i.ID
 	}
-	return fmt.Sprintf("%s@%d", i.ID, i.Born)
+	return fmt.Sprintf("%s@%d", i.ID, i.StartedAt)
 }
 
 // EntryFault is why an entry of the list names no target to use.
