--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -98,7 +98,7 @@
 		learn[h] = rand.IntN(60)
 	}
 	for _, h := range all {
-		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdLeft: 9500 * time.Millisecond})
+		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdRemaining: 9500 * time.Millisecond})
 	}
 	const step = 50 * time.Millisecond
 	var sent []time.Time
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHost("front-1")
-		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdLeft: time.Minute})
+		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdRemaining: time.Minute})
 		is.Equal(h.targets.Choose(target.Requirements{Service: "s"}), nil)
 		time.Sleep(7 * time.Second)
 		is.True(h.targets.Choose(target.Requirements{Service: "s"}) != nil)
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	r := target.NewRegistry(target.Options{})
 	r.SetCold("s", target.ColdLimits{PerSecond: 1})
-	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
+	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	for range 3 {
 		is.True(r.HasCandidate(target.Requirements{Service: "s"}))
 	}
@@ -148,7 +148,7 @@
 	is := is.New(t)
 	r := target.NewRegistry(target.Options{DrainWithin: time.Minute})
 	r.SetCold("s", target.ColdLimits{PerSecond: 1})
-	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
+	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	r.Remove("t")
 	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
 	is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
--- a/router/target/entry.go
+++ b/router/target/entry.go
@@ -24,7 +24,7 @@
 	Version  string // of its software
 	Slots    int
 	State    State
-	ColdLeft time.Duration // how much longer it is slow from its start
+	ColdRemaining time.Duration // how much longer it is slow from its start
 }
 
 // Incarnation names one life of a target: one that starts again under its id holds and knows
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -127,8 +127,8 @@
 		t.life = e.Incarnation()
 	}
 	t.slots = max(e.Slots, 1)
-	if e.ColdLeft > 0 {
-		t.coolFor(e.ColdLeft, now)
+	if e.ColdRemaining > 0 {
+		t.coolFor(e.ColdRemaining, now)
 	}
 	r.setState(t, true, e.State, now)
 }
