--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -25,7 +25,7 @@
 	started := time.Now()
 	work := float64(q.usage.in)
 	targets := q.handler.opts.Targets
-	targets.Begin(t, work)
+	targets.BeginRequest(t, work)
 	c := &call{request: q, target: t, started: started, work: work, ask: q.ask(len(q.excluded) == 0)}
 	res, err := c.do(ctx)
 	q.handler.opts.Rollouts.Ended(c.ask, t.Version, c.answer(res, targets.Cold(t)))
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -108,7 +108,7 @@
 				h.knows(fresh)
 			}
 			if c := h.targets.Choose(target.Requirements{Service: "s"}); c != nil {
-				h.targets.Begin(c, 0)
+				h.targets.BeginRequest(c, 0)
 				sent = append(sent, time.Now())
 			}
 		}
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -77,8 +77,8 @@
 	return s
 }
 
-// Begin counts a request of so many prompt tokens that goes to a target.
-func (r *Registry) Begin(t *Target, work float64) {
+// BeginRequest counts a request of so many prompt tokens that goes to a target.
+func (r *Registry) BeginRequest(t *Target, work float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.outstanding == 0 {
--- a/router/target/life_test.go
+++ b/router/target/life_test.go
@@ -22,10 +22,10 @@
 	r := newRegistry(bornAt(1000), entry("b", "z1"))
 	old := r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}})
 	for range 3 {
-		r.Begin(old, 100)
+		r.BeginRequest(old, 100)
 		r.End(old, 100, Broken)
 	}
-	r.Begin(old, 100) // under way as it ends
+	r.BeginRequest(old, 100) // under way as it ends
 	is.True(r.Ejected("a", time.Now()))
 	drained := bornAt(1000)
 	drained.State = Draining
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -258,7 +258,7 @@
 	}
 	f.served++
 	now := time.Now()
-	h.targets.Begin(chosen, 0)
+	h.targets.BeginRequest(chosen, 0)
 	t := f.targetOf(chosen.ID)
 	since, told := h.told[t]
 	t.sends = append(t.sends, limitedSend{at: now, told: told && !h.cut && now.Sub(h.since) >= inTouchAfter && now.Sub(since) >= toldFor})
--- a/router/target/slow_test.go
+++ b/router/target/slow_test.go
@@ -13,7 +13,7 @@
 	got := map[string]int{}
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		t := r.Choose(Requirements{Service: "s"})
-		r.Begin(t, 0)
+		r.BeginRequest(t, 0)
 		took := latency(t.ID)
 		time.Sleep(took)
 		r.Answered(t, 0, took)
--- a/router/target/stall_test.go
+++ b/router/target/stall_test.go
@@ -20,7 +20,7 @@
 // prompts makes the mean prompt of the service about 1,000 tokens.
 func prompts(r *Registry, t *Target) {
 	for range 100 {
-		r.Begin(t, 1000)
+		r.BeginRequest(t, 1000)
 		r.End(t, 1000, Abandoned)
 	}
 }
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -39,7 +39,7 @@
 			counts["none"]++
 			continue
 		}
-		r.Begin(t, w.PromptTokens)
+		r.BeginRequest(t, w.PromptTokens)
 		counts[t.ID]++
 	}
 	return counts
@@ -111,7 +111,7 @@
 	for range n {
 		for _, t := range r.services["s"] {
 			if t.ID == id {
-				r.Begin(t, 0)
+				r.BeginRequest(t, 0)
 				r.End(t, 0, result)
 			}
 		}
@@ -182,7 +182,7 @@
 	r := newRegistry(entry("a", "z1"), entry("b", "z2"))
 	dark := r.Choose(Requirements{Service: "s"})
 	is.Equal(dark.ID, "a")
-	r.Begin(dark, 0)
+	r.BeginRequest(dark, 0)
 	later := time.Now().Add(quietTime + time.Millisecond)
 	is.Equal(r.usable(Requirements{Service: "s"}, later)[0].ID, "b")
 	dark.Heard(later)
@@ -217,7 +217,7 @@
 			if x.ID == "slow" {
 				latency = time.Second
 			}
-			r.Begin(x, 0)
+			r.BeginRequest(x, 0)
 			r.Answered(x, 0, latency)
 			r.End(x, 0, Succeeded)
 		}
--- a/router/target/trial_test.go
+++ b/router/target/trial_test.go
@@ -60,7 +60,7 @@
 	for range 40 {
 		target := r.Choose(trial)
 		is.True(target != nil)
-		r.Begin(target, 0)
+		r.BeginRequest(target, 0)
 		r.End(target, 0, Broken)
 	}
 }
