--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -37,7 +37,7 @@
 	if res == delivered && c.whole {
 		q.handler.opts.Quarantine.Whole(q.digest)
 	}
-	targets.End(t, c.work, c.judgement(res))
+	targets.EndRequest(t, c.work, c.judgement(res))
 	if res == notSent && !q.handler.opts.Overload.Overloaded(time.Now()) {
 		targets.DialFailed(t)
 	}
--- a/router/target/choose_bench_test.go
+++ b/router/target/choose_bench_test.go
@@ -24,7 +24,7 @@
 			for b.Loop() {
 				c := h.targets.Choose(target.Requirements{Service: "s"})
 				h.targets.BeginRequest(c, 0)
-				h.targets.End(c, 0, target.Succeeded)
+				h.targets.EndRequest(c, 0, target.Succeeded)
 			}
 		})
 	}
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -176,9 +176,9 @@
 	stats.latency, stats.latencyAt = all[(len(all)-1)/2], now
 }
 
-// End counts a request off again and takes in its result; work is that of Begin
+// EndRequest counts a request off again and takes in its result; work is that of Begin
 // if Answered was not called, else 0.
-func (r *Registry) End(t *Target, work float64, result Result) {
+func (r *Registry) EndRequest(t *Target, work float64, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.outstanding--
--- a/router/target/life_test.go
+++ b/router/target/life_test.go
@@ -23,7 +23,7 @@
 	old := r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}})
 	for range 3 {
 		r.BeginRequest(old, 100)
-		r.End(old, 100, Broken)
+		r.EndRequest(old, 100, Broken)
 	}
 	r.BeginRequest(old, 100) // under way as it ends
 	is.True(r.Ejected("a", time.Now()))
@@ -40,7 +40,7 @@
 	is.Equal(now.outstanding, 0)
 	is.True(now.Pool != old.Pool)
 	is.Equal(r.Incarnation(now).String(), "a@2000")
-	r.End(old, 100, Broken) // the run of the life before says nothing of this one
+	r.EndRequest(old, 100, Broken) // the run of the life before says nothing of this one
 	is.Equal(now.health.broken, 0)
 }
 
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -240,7 +240,7 @@
 			result = target.Refused
 		}
 		a.host.targets.StateLimit(a.entry, a.said)
-		a.host.targets.End(a.entry, 0, result)
+		a.host.targets.EndRequest(a.entry, 0, result)
 		if _, had := a.host.told[a.target]; a.said.Named && !had {
 			a.host.told[a.target] = now
 		}
--- a/router/target/slow_test.go
+++ b/router/target/slow_test.go
@@ -17,7 +17,7 @@
 		took := latency(t.ID)
 		time.Sleep(took)
 		r.Answered(t, 0, took)
-		r.End(t, 0, Succeeded)
+		r.EndRequest(t, 0, Succeeded)
 		got[t.ID]++
 		time.Sleep(max(100*time.Millisecond-took, 0))
 	}
--- a/router/target/stall_test.go
+++ b/router/target/stall_test.go
@@ -21,7 +21,7 @@
 func prompts(r *Registry, t *Target) {
 	for range 100 {
 		r.BeginRequest(t, 1000)
-		r.End(t, 1000, Abandoned)
+		r.EndRequest(t, 1000, Abandoned)
 	}
 }
 
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -112,7 +112,7 @@
 		for _, t := range r.services["s"] {
 			if t.ID == id {
 				r.BeginRequest(t, 0)
-				r.End(t, 0, result)
+				r.EndRequest(t, 0, result)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	is.Equal(r.usable(Requirements{Service: "s"}, later)[0].ID, "b")
 	dark.Heard(later)
 	is.Equal(len(r.usable(Requirements{Service: "s"}, later)), 2)
-	r.End(dark, 0, Succeeded)
+	r.EndRequest(dark, 0, Succeeded)
 	is.Equal(len(r.usable(Requirements{Service: "s"}, later.Add(time.Hour))), 2) // nothing is under way
 }
 
@@ -219,7 +219,7 @@
 			}
 			r.BeginRequest(x, 0)
 			r.Answered(x, 0, latency)
-			r.End(x, 0, Succeeded)
+			r.EndRequest(x, 0, Succeeded)
 		}
 	}
 	r.updateMedian("s", time.Now().Add(time.Second))
--- a/router/target/trial_test.go
+++ b/router/target/trial_test.go
@@ -61,7 +61,7 @@
 		target := r.Choose(trial)
 		is.True(target != nil)
 		r.BeginRequest(target, 0)
-		r.End(target, 0, Broken)
+		r.EndRequest(target, 0, Broken)
 	}
 }
 
