--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -112,7 +112,7 @@
 func (c *call) answered() {
 	c.target.Heard(time.Now())
 	c.begins = time.Since(c.started)
-	c.request.handler.opts.Targets.Answered(c.target, c.work, c.begins)
+	c.request.handler.opts.Targets.RecordFirstByte(c.target, c.work, c.begins)
 	c.work = 0
 }
 
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -118,8 +118,8 @@
 	return now.Sub(since) > quietTime
 }
 
-// Answered notes that the prompt was worked off, after a latency of its own.
-func (r *Registry) Answered(t *Target, work float64, latency time.Duration) {
+// RecordFirstByte notes that the prompt was worked off, after a latency of its own.
+func (r *Registry) RecordFirstByte(t *Target, work float64, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.work -= work
--- a/router/target/slow_test.go
+++ b/router/target/slow_test.go
@@ -16,7 +16,7 @@
 		r.BeginRequest(t, 0)
 		took := latency(t.ID)
 		time.Sleep(took)
-		r.Answered(t, 0, took)
+		r.RecordFirstByte(t, 0, took)
 		r.EndRequest(t, 0, Succeeded)
 		got[t.ID]++
 		time.Sleep(max(100*time.Millisecond-took, 0))
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -218,7 +218,7 @@
 				latency = time.Second
 			}
 			r.BeginRequest(x, 0)
-			r.Answered(x, 0, latency)
+			r.RecordFirstByte(x, 0, latency)
 			r.EndRequest(x, 0, Succeeded)
 		}
 	}
