--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -110,7 +110,7 @@
 
 // answered notes that the target began to answer.
 func (c *call) answered() {
-	c.target.Heard(time.Now())
+	c.target.RecordActivity(time.Now())
 	c.begins = time.Since(c.started)
 	c.request.handler.opts.Targets.RecordFirstByte(c.target, c.work, c.begins)
 	c.work = 0
--- a/router/forward/stream.go
+++ b/router/forward/stream.go
@@ -35,7 +35,7 @@
 	for {
 		n, err := resp.Body.Read(buffer)
 		if n > 0 {
-			c.target.Heard(time.Now())
+			c.target.RecordActivity(time.Now())
 			data := buffer[:n]
 			before := s.scanner.Events()
 			whole := s.scanner.Scan(data)
--- a/router/target/ended_test.go
+++ b/router/target/ended_test.go
@@ -39,7 +39,7 @@
 func TestEndIsSeenThoughBytesStillCome(t *testing.T) {
 	r, target, b := endTarget(t)
 	b.Close()
-	target.Heard(time.Now().Add(time.Second))
+	target.RecordActivity(time.Now().Add(time.Second))
 	is.New(t).True(r.Ended(context.Background(), target))
 }
 
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -89,15 +89,15 @@
 	r.statsOf(t.Service).notePrompt(work)
 }
 
-// Heard notes that the target sent something.
-func (t *Target) Heard(now time.Time) { t.heard.Store(now.UnixNano()) }
+// RecordActivity notes that the target sent something.
+func (t *Target) RecordActivity(now time.Time) { t.heard.Store(now.UnixNano()) }
 
 // BeginUnread notes that a stream waits for its caller to read, and not for the target.
 func (t *Target) BeginUnread() { t.unread.Add(1) }
 
 // EndUnread notes that the caller read.
 func (t *Target) EndUnread() {
-	t.Heard(time.Now())
+	t.RecordActivity(time.Now())
 	t.unread.Add(-1)
 }
 
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -185,7 +185,7 @@
 	r.BeginRequest(dark, 0)
 	later := time.Now().Add(quietTime + time.Millisecond)
 	is.Equal(r.usable(Requirements{Service: "s"}, later)[0].ID, "b")
-	dark.Heard(later)
+	dark.RecordActivity(later)
 	is.Equal(len(r.usable(Requirements{Service: "s"}, later)), 2)
 	r.EndRequest(dark, 0, Succeeded)
 	is.Equal(len(r.usable(Requirements{Service: "s"}, later.Add(time.Hour))), 2) // nothing is under way
