--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -41,7 +41,7 @@
 // nor slow meanwhile.
 func (c *call) awaitCaller(send func() error) error {
 	c.silence.pause()
-	c.target.BeginUnread()
+	c.target.BeginCallerWait()
 	began := time.Now()
 	err := send()
 	c.held += time.Since(began)
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -92,8 +92,8 @@
 // RecordActivity notes that the target sent something.
 func (t *Target) RecordActivity(now time.Time) { t.heard.Store(now.UnixNano()) }
 
-// BeginUnread notes that a stream waits for its caller to read, and not for the target.
-func (t *Target) BeginUnread() { t.unread.Add(1) }
+// BeginCallerWait notes that a stream waits for its caller to read, and not for the target.
+func (t *Target) BeginCallerWait() { t.unread.Add(1) }
 
 // EndUnread notes that the caller read.
 func (t *Target) EndUnread() {
