--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -45,6 +45,6 @@
 	began := time.Now()
 	err := send()
 	c.held += time.Since(began)
-	c.target.EndUnread()
+	c.target.EndCallerWait()
 	return err
 }
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -95,8 +95,8 @@
 // BeginCallerWait notes that a stream waits for its caller to read, and not for the target.
 func (t *Target) BeginCallerWait() { t.unread.Add(1) }
 
-// EndUnread notes that the caller read.
-func (t *Target) EndUnread() {
+// EndCallerWait notes that the caller read.
+func (t *Target) EndCallerWait() {
 	t.RecordActivity(time.Now())
 	t.unread.Add(-1)
 }
