--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -39,7 +39,7 @@
 	}
 	targets.EndRequest(t, c.work, c.judgement(res))
 	if res == notSent && !q.handler.opts.Overload.Overloaded(time.Now()) {
-		targets.DialFailed(t)
+		targets.RecordDialFailure(t)
 	}
 	q.handler.opts.Observer.Tried(Try{
 		RequestID: q.id, Number: q.tries, Target: t.ID, Domain: t.Domain, Result: res.String(),
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -236,8 +236,8 @@
 	h.broken, h.samples, h.failures = 0, 0, h.failures/2
 }
 
-// DialFailed notes that no connection could be made.
-func (r *Registry) DialFailed(t *Target) {
+// RecordDialFailure notes that no connection could be made.
+func (r *Registry) RecordDialFailure(t *Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.health.broken++
