--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -20,7 +20,7 @@
 		c.first = now
 	} else {
 		q := c.request
-		q.handler.opts.Targets.Paused(c.target, now.Sub(c.last)-c.held, routing.Milliseconds(q.route.GapTargetMs))
+		q.handler.opts.Targets.RecordGap(c.target, now.Sub(c.last)-c.held, routing.Milliseconds(q.route.GapTargetMs))
 	}
 	c.events += n
 	c.last = now
--- a/router/target/stall.go
+++ b/router/target/stall.go
@@ -52,9 +52,9 @@
 	return mean > 0 && w.PromptTokens > longPrompt*mean
 }
 
-// Paused notes the time between two events of a stream of a target, and the longest that
+// RecordGap notes the time between two events of a stream of a target, and the longest that
 // its route allows; 0: any.
-func (r *Registry) Paused(t *Target, gap, allowed time.Duration) {
+func (r *Registry) RecordGap(t *Target, gap, allowed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.stall.note(gap.Seconds())
--- a/router/target/stall_test.go
+++ b/router/target/stall_test.go
@@ -13,7 +13,7 @@
 // streams gives every target a pace: so many events, each so long after the one before.
 func streams(r *Registry, t *Target, gap time.Duration) {
 	for range 200 {
-		r.Paused(t, gap, 300*ms)
+		r.RecordGap(t, gap, 300*ms)
 	}
 }
 
@@ -46,8 +46,8 @@
 		return chosen
 	}
 	is.True(asked(9000)[slow]) // slower, but nobody was kept waiting
-	r.Paused(slow, 310*ms, 300*ms)
-	r.Paused(fast, 310*ms, 300*ms)
+	r.RecordGap(slow, 310*ms, 300*ms)
+	r.RecordGap(fast, 310*ms, 300*ms)
 	is.True(!asked(9000)[slow])
 	is.True(asked(9000)[fast]) // it stalled by chance: it is as fast as most
 	is.True(asked(900)[slow])  // short prompts stall nobody
@@ -67,7 +67,7 @@
 	streams(r, all[0], 30*ms)
 	streams(r, all[1], 20*ms)
 	streams(r, all[2], 20*ms)
-	r.Paused(all[0], 310*ms, 300*ms)
+	r.RecordGap(all[0], 310*ms, 300*ms)
 	others := map[string]bool{all[1].ID: true, all[2].ID: true}
 	is.Equal(r.Choose(Requirements{Service: "s", PromptTokens: 9000, Exclude: others}), all[0])
 }
