--- a/router/node/config.go
+++ b/router/node/config.go
@@ -229,7 +229,7 @@
 // setCold tells what cold targets bear.
 func (n *Node) setCold(config *routing.Config, b settings.Bounds) {
 	for _, s := range config.Services {
-		limits := target.ColdLimits{Lasts: settings.Seconds(s.ColdS)}
+		limits := target.ColdLimits{Duration: settings.Seconds(s.ColdS)}
 		if s.ColdPerS > 0 {
 			limits.PerSecond = coldPart * (b.ColdOverrun*s.ColdPerS + b.ColdSlack)
 		}
--- a/router/target/evacuate.go
+++ b/router/target/evacuate.go
@@ -59,7 +59,7 @@
 	now := time.Now()
 	for _, t := range r.targets {
 		if t.Domain == domain {
-			t.coolFor(r.coldLimits[t.Service].Lasts, now)
+			t.coolFor(r.coldLimits[t.Service].Duration, now)
 		}
 	}
 	r.logEvacuation("end of the evacuation of a failure domain", domain, 0)
