--- a/router/node/config.go
+++ b/router/node/config.go
@@ -233,7 +233,7 @@
 		if s.ColdPerS > 0 {
 			limits.PerSecond = coldPart * (b.ColdOverrun*s.ColdPerS + b.ColdSlack)
 		}
-		n.targets.SetCold(s.Name, limits)
+		n.targets.SetColdLimits(s.Name, limits)
 	}
 }
 
--- a/router/target/cold.go
+++ b/router/target/cold.go
@@ -21,8 +21,8 @@
 	share share
 }
 
-// SetCold takes over what cold targets of a service bear.
-func (r *Registry) SetCold(service string, limits ColdLimits) {
+// SetColdLimits takes over what cold targets of a service bear.
+func (r *Registry) SetColdLimits(service string, limits ColdLimits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.coldLimits[service] = limits
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -34,7 +34,7 @@
 func newHost(name string) *host {
 	h := &host{name: name, fleet: fleet.New(fleet.Options{Self: fleet.Host{Name: name}})}
 	h.targets = target.NewRegistry(target.Options{Elected: h.fleet.Elected})
-	h.targets.SetCold("s", target.ColdLimits{PerSecond: coldPerSecond})
+	h.targets.SetColdLimits("s", target.ColdLimits{PerSecond: coldPerSecond})
 	return h
 }
 
@@ -134,7 +134,7 @@
 func TestLookingDoesNotCountAtAColdTarget(t *testing.T) {
 	is := is.New(t)
 	r := target.NewRegistry(target.Options{})
-	r.SetCold("s", target.ColdLimits{PerSecond: 1})
+	r.SetColdLimits("s", target.ColdLimits{PerSecond: 1})
 	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	for range 3 {
 		is.True(r.HasCandidate(target.Requirements{Service: "s"}))
@@ -147,7 +147,7 @@
 func TestLeavingColdTargetIsSpared(t *testing.T) {
 	is := is.New(t)
 	r := target.NewRegistry(target.Options{DrainWithin: time.Minute})
-	r.SetCold("s", target.ColdLimits{PerSecond: 1})
+	r.SetColdLimits("s", target.ColdLimits{PerSecond: 1})
 	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	r.Remove("t")
 	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
--- a/router/target/evacuate_test.go
+++ b/router/target/evacuate_test.go
@@ -54,7 +54,7 @@
 func TestTargetsAreColdAfterAnEvacuation(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry(entry("a", "z1"))
-	r.SetCold("s", ColdLimits{PerSecond: 3, Duration: time.Minute})
+	r.SetColdLimits("s", ColdLimits{PerSecond: 3, Duration: time.Minute})
 	r.Evacuate("z1", 0)
 	r.EndEvacuation("z1")
 	is.Equal(chosen(r, Requirements{Service: "s"}, 3), map[string]int{"a": 1, "none": 2})
