--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -28,7 +28,7 @@
 	targets.BeginRequest(t, work)
 	c := &call{request: q, target: t, started: started, work: work, ask: q.ask(len(q.excluded) == 0)}
 	res, err := c.do(ctx)
-	q.handler.opts.Rollouts.Ended(c.ask, t.Version, c.answer(res, targets.Cold(t)))
+	q.handler.opts.Rollouts.Ended(c.ask, t.Version, c.answer(res, targets.IsCold(t)))
 	if c.wentSilent(res) {
 		t.Pool.CloseIdle()
 	}
--- a/router/target/cold.go
+++ b/router/target/cold.go
@@ -38,8 +38,8 @@
 // isCold says whether a target is cold, as far as its entries tell.
 func (t *Target) isCold(now time.Time) bool { return now.Before(t.cold.until) }
 
-// Cold says whether a target is cold.
-func (r *Registry) Cold(t *Target) bool {
+// IsCold says whether a target is cold.
+func (r *Registry) IsCold(t *Target) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return t.isCold(time.Now())
