--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -161,7 +161,7 @@
 	b := &bench{t: t, is: is.New(t), recorder: &recorder{}, meter: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
 	b.takes.Store(true)
 	b.targets = target.NewRegistry(target.Options{
-		Domain: "z1", DrainWithin: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
+		Domain: "z1", DrainLimit: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
 	})
 	one := func() int { return 1 }
 	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, MaxWait: 20 * time.Millisecond})
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -170,8 +170,8 @@
 func (q *request) want(excluded map[string]bool) target.Requirements {
 	return target.Requirements{
 		Service: q.service, Affinity: sharedParts(q.shared), PromptTokens: float64(q.usage.in), Exclude: excluded,
-		Priority:    q.rank(),
-		Regions: q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
+		Priority: q.rank(),
+		Regions:  q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
 	}
 }
 
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -120,7 +120,7 @@
 	n.targets = target.NewRegistry(target.Options{
 		Domain:      cfg.Host.Domain,
 		Regions:     cfg.Host.RegionOf(),
-		DrainWithin: drainPart(settings.Milliseconds(cfg.Bounds.DrainMs)),
+		DrainLimit:  drainPart(settings.Milliseconds(cfg.Bounds.DrainMs)),
 		DialTimeout: settings.Milliseconds(cfg.Targets.DialMs),
 		IdleTimeout: settings.Milliseconds(cfg.Targets.IdleMs),
 		MaxIdle:     cfg.Targets.MaxIdle,
--- a/router/target/choose.go
+++ b/router/target/choose.go
@@ -12,13 +12,13 @@
 
 // Requirements is what a request asks of a target.
 type Requirements struct {
-	Service  string
-	Affinity string // shared parts of the prompt; empty: none
-	PromptTokens     float64
-	Exclude  map[string]bool // ids tried already
-	Versions rollout.Rule    // that a target may have
+	Service      string
+	Affinity     string // shared parts of the prompt; empty: none
+	PromptTokens float64
+	Exclude      map[string]bool // ids tried already
+	Versions     rollout.Rule    // that a target may have
 	Priority     int             // of urgency, 0 comes first
-	Regions  routing.Regions // in which a target may lie
+	Regions      routing.Regions // in which a target may lie
 }
 
 // Figures of the choice.
@@ -102,7 +102,7 @@
 				spared = append(spared, t)
 			}
 		case !t.listed || t.state != Ready:
-			if now.Sub(t.leftAt) < r.opts.DrainWithin {
+			if now.Sub(t.leftAt) < r.opts.DrainLimit {
 				leaving = append(leaving, t)
 			}
 		case !w.onTrial() && now.Before(t.health.until) || now.Before(t.health.shedUntil) || t.quiet(now) || t.gone(now):
--- a/router/target/cold.go
+++ b/router/target/cold.go
@@ -12,7 +12,7 @@
 // ColdLimits is what a cold target of a service bears.
 type ColdLimits struct {
 	PerSecond float64       // requests from all hosts together, in any second; 0: any number
-	Duration     time.Duration // from its start
+	Duration  time.Duration // from its start
 }
 
 // cold is what a host knows of a target's cold time.
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -146,7 +146,7 @@
 // A cold target whose entry lapsed is spared as well, though no other is left.
 func TestLeavingColdTargetIsSpared(t *testing.T) {
 	is := is.New(t)
-	r := target.NewRegistry(target.Options{DrainWithin: time.Minute})
+	r := target.NewRegistry(target.Options{DrainLimit: time.Minute})
 	r.SetColdLimits("s", target.ColdLimits{PerSecond: 1})
 	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	r.Remove("t")
--- a/router/target/entry.go
+++ b/router/target/entry.go
@@ -16,21 +16,21 @@
 
 // Entry is a target as the platform lists it.
 type Entry struct {
-	ID       string
+	ID            string
 	StartedAt     time.Time // start of its process, zero: not told
-	Service  string
-	Address  string // IP:port
-	Domain   string // failure domain
-	Version  string // of its software
-	Slots    int
-	State    State
+	Service       string
+	Address       string // IP:port
+	Domain        string // failure domain
+	Version       string // of its software
+	Slots         int
+	State         State
 	ColdRemaining time.Duration // how much longer it is slow from its start
 }
 
 // Incarnation names one life of a target: one that starts again under its id holds and knows
 // nothing of before, and what was learned of the life before says nothing of it.
 type Incarnation struct {
-	ID   string
+	ID        string
 	StartedAt int64 // Unix milliseconds, 0: not told
 }
 
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -51,7 +51,7 @@
 	Domain string // of this host
 	// Regions are those of the failure domains. What is not there is in no known region.
 	Regions     map[string]string
-	DrainWithin time.Duration // a leaving target gets no request later than this
+	DrainLimit  time.Duration // a leaving target gets no request later than this
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
 	MaxIdle     int
@@ -162,7 +162,7 @@
 		t.leaves(now)
 	case t.leftAt.IsZero():
 		// First seen as it leaves: since when is not known, so it is no last resort.
-		t.leaves(now.Add(-r.opts.DrainWithin))
+		t.leaves(now.Add(-r.opts.DrainLimit))
 	}
 }
 
@@ -225,7 +225,7 @@
 func (r *Registry) SetDrainWithin(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.opts.DrainWithin = d
+	r.opts.DrainLimit = d
 }
 
 // forgetAfter is how long a target that left is remembered.
@@ -237,7 +237,7 @@
 	defer r.mu.Unlock()
 	for _, t := range r.targets {
 		t.Pool.CloseExpired(now)
-		if !t.leftAt.IsZero() && now.Sub(t.leftAt) > r.opts.DrainWithin {
+		if !t.leftAt.IsZero() && now.Sub(t.leftAt) > r.opts.DrainLimit {
 			t.Pool.Close()
 		}
 		if !t.listed && t.outstanding == 0 && now.Sub(t.leftAt) > forgetAfter {
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -19,7 +19,7 @@
 }
 
 func newRegistry(entries ...Entry) *Registry {
-	r := NewRegistry(Options{Domain: "z1", DrainWithin: 50 * time.Millisecond, MaxIdle: 1})
+	r := NewRegistry(Options{Domain: "z1", DrainLimit: 50 * time.Millisecond, MaxIdle: 1})
 	for _, e := range entries {
 		r.Put(e)
 	}
@@ -244,7 +244,7 @@
 	e, err := backend.Start("t1", backend.Names{RequestID: "X-Id"}, func(backend.Run) backend.Behaviour { return backend.Behaviour{} })
 	is.NoErr(err)
 	t.Cleanup(e.Close)
-	r := NewRegistry(Options{DrainWithin: 10 * time.Millisecond, DialTimeout: time.Second})
+	r := NewRegistry(Options{DrainLimit: 10 * time.Millisecond, DialTimeout: time.Second})
 	back := Entry{ID: "t1", Service: "s", Address: e.Address(), Slots: 4}
 	gone := Entry{ID: "t2", Service: "s", Address: "127.0.0.1:1", Slots: 4}
 	r.Put(back)
