--- a/router/node/reload.go
+++ b/router/node/reload.go
@@ -32,7 +32,7 @@
 	n.treasury.SetSizing(plan(fresh))
 	n.fleet.SetSeeds(fresh.Host.Seeds)
 	n.targets.SetRegions(fresh.Host.RegionOf())
-	n.targets.SetDrainWithin(drainPart(settings.Milliseconds(fresh.Bounds.DrainMs)))
+	n.targets.SetDrainLimit(drainPart(settings.Milliseconds(fresh.Bounds.DrainMs)))
 	n.targets.SetLimitBounds(limitBounds(fresh.Bounds))
 	if config := n.handler.Config(); config != nil {
 		n.setCold(config, fresh.Bounds)
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -221,8 +221,8 @@
 	r.opts.Regions = regions
 }
 
-// SetDrainWithin changes how long a leaving target may still be chosen.
-func (r *Registry) SetDrainWithin(d time.Duration) {
+// SetDrainLimit changes how long a leaving target may still be chosen.
+func (r *Registry) SetDrainLimit(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opts.DrainLimit = d
