--- a/router/target/target.go
+++ b/router/target/target.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// Count tells how many targets of a service are ready.
-func (r *Registry) Count(service string) (ready int) {
+// CountReady tells how many targets of a service are ready.
+func (r *Registry) CountReady(service string) (ready int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.services[service] {
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -74,7 +74,7 @@
 			r := newRegistry(entry("a", "z1"), entry("b", "z2"))
 			leave(r)
 			is.Equal(chosen(r, Requirements{Service: "s"}, 4), map[string]int{"b": 4})
-			is.Equal(r.Count("s"), 1)
+			is.Equal(r.CountReady("s"), 1)
 		})
 	}
 }
@@ -263,7 +263,7 @@
 	is.NoErr(err)
 	conn.Close()
 	r.Sweep(now.Add(forgetAfter))
-	is.Equal(r.Count("s"), 1)
+	is.Equal(r.CountReady("s"), 1)
 	is.Equal(r.targets["t2"], nil)
 }
 
