--- a/router/node/entries_test.go
+++ b/router/node/entries_test.go
@@ -34,10 +34,10 @@
 	for range 20 {
 		f.is.Equal(f.call(h, "/r/x", "").status, http.StatusOK)
 	}
-	f.is.Equal(h.targets.Total(), 2)
+	f.is.Equal(h.targets.TotalReady(), 2)
 
 	f.put("t1", "{")
-	f.eventually("the garbled one is out", func() bool { return h.targets.Total() == 1 })
+	f.eventually("the garbled one is out", func() bool { return h.targets.TotalReady() == 1 })
 	time.Sleep(20 * time.Millisecond)
 	before := one.Arrivals()
 	for range 20 {
@@ -45,10 +45,10 @@
 	}
 	f.is.Equal(one.Arrivals(), before)
 	f.list(target.Entry{ID: "t1", Service: "s", Address: one.Address(), Domain: "z1", Slots: 4})
-	f.eventually("it is back", func() bool { return h.targets.Total() == 2 })
+	f.eventually("it is back", func() bool { return h.targets.TotalReady() == 2 })
 	// Of two idle targets one that was slow once may never be chosen, so the other leaves.
 	f.unlist("t2")
-	f.eventually("only it is left", func() bool { return h.targets.Total() == 1 })
+	f.eventually("only it is left", func() bool { return h.targets.TotalReady() == 1 })
 	f.eventually("it serves again", func() bool { return f.call(h, "/r/x", "").body == "one" })
 }
 
@@ -60,15 +60,15 @@
 	leaving := f.backend("t1", backend.Behaviour{Body: "one"})
 	f.backend("t2", backend.Behaviour{Body: "two"})
 	f.ready(h)
-	f.eventually("both are there", func() bool { return h.targets.Total() == 2 })
+	f.eventually("both are there", func() bool { return h.targets.TotalReady() == 2 })
 	entry := target.Entry{ID: "t1", Service: "s", Address: leaving.Address(), Domain: "z1", Slots: 4, State: target.Draining}
 	f.list(entry)
-	f.eventually("it leaves", func() bool { return h.targets.Total() == 1 })
+	f.eventually("it leaves", func() bool { return h.targets.TotalReady() == 1 })
 	value, err := json.Marshal(entry)
 	f.is.NoErr(err)
 	f.put("t1", strings.Replace(string(value), "4", `"four"`, 1))
 	time.Sleep(100 * time.Millisecond)
-	f.is.Equal(h.targets.Total(), 1)
+	f.is.Equal(h.targets.TotalReady(), 1)
 	before := leaving.Arrivals()
 	for range 20 {
 		f.is.Equal(f.call(h, "/r/x", "").body, "two")
--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -15,7 +15,7 @@
 	n.observer.Gauge("open_requests", func() float64 { return float64(n.handler.Open()) })
 	n.observer.Gauge("unread_bytes", func() float64 { return float64(n.unread.Held()) })
 	n.observer.Gauge("hosts", func() float64 { return float64(n.fleet.Size()) })
-	n.observer.Gauge("targets_ready", func() float64 { return float64(n.targets.Total()) })
+	n.observer.Gauge("targets_ready", func() float64 { return float64(n.targets.TotalReady()) })
 	for topic, c := range map[string]*replica.Replica{
 		n.outside.ConfigTopic: n.configCopy, n.outside.TargetsTopic: n.targetsCopy, n.outside.HostsTopic: n.hostsCopy,
 	} {
--- a/router/node/suspend_test.go
+++ b/router/node/suspend_test.go
@@ -115,13 +115,13 @@
 	}
 	slow := f.backend("t1", backend.Behaviour{Delay: 300 * time.Millisecond, BreakAfter: 1, Body: "broken"})
 	f.unlist(warm.ID)
-	f.eventually("only the slow one is left", func() bool { return h.targets.Total() == 1 })
+	f.eventually("only the slow one is left", func() bool { return h.targets.TotalReady() == 1 })
 	time.Sleep(100 * time.Millisecond)
 	answered := make(chan reply, 1)
 	go func() { answered <- f.call(h, "/r/x", "") }()
 	f.eventually("it is under way", func() bool { return slow.Arrivals() == 1 })
 	good := f.backend("t2", backend.Behaviour{Body: "two"})
-	f.eventually("another target", func() bool { return h.targets.Total() == 2 })
+	f.eventually("another target", func() bool { return h.targets.TotalReady() == 2 })
 	clocks.suspend(time.Second) // of the three that the route allows
 	h.watch.Look()
 	f.is.Equal((<-answered).body, "two")
--- a/router/target/life_test.go
+++ b/router/target/life_test.go
@@ -30,10 +30,10 @@
 	drained := bornAt(1000)
 	drained.State = Draining
 	r.Put(drained)
-	is.Equal(r.Total(), 1)
+	is.Equal(r.TotalReady(), 1)
 
 	r.Put(bornAt(2000))
-	is.Equal(r.Total(), 2)
+	is.Equal(r.TotalReady(), 2)
 	is.True(!r.Ejected("a", time.Now()))
 	now := r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"b": true}})
 	is.True(now != old)
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -281,8 +281,8 @@
 	return versions
 }
 
-// Total counts the ready targets of all services.
-func (r *Registry) Total() (ready int) {
+// TotalReady counts the ready targets of all services.
+func (r *Registry) TotalReady() (ready int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.targets {
--- a/router/target/target_test.go
+++ b/router/target/target_test.go
@@ -104,7 +104,7 @@
 	e.Address = "127.0.0.1:2"
 	r.Put(e)
 	is.Equal(r.Choose(Requirements{Service: "s"}).Address, "127.0.0.1:2")
-	is.Equal(r.Total(), 1)
+	is.Equal(r.TotalReady(), 1)
 }
 
 func fail(r *Registry, id string, result Result, n int) {
