--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -84,7 +84,7 @@
 	defer r.mu.Unlock()
 	l := r.lists[service]
 	if now.Sub(l.at) > listedFor {
-		l = listed{at: now, versions: r.node.targets.Versions(service)}
+		l = listed{at: now, versions: r.node.targets.CountReadyByVersion(service)}
 		r.lists[service] = l
 	}
 	return l.versions
@@ -226,7 +226,7 @@
 	up, contact := r.states.Up()
 	return rollout.View{
 		Record: r.gate.Record(o.Service), Known: up && time.Since(contact) < stateAge,
-		Versions: r.node.targets.Versions(o.Service), Hosts: r.node.fleet.Size(),
+		Versions: r.node.targets.CountReadyByVersion(o.Service), Hosts: r.node.fleet.Size(),
 	}
 }
 
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -268,8 +268,8 @@
 	return ready
 }
 
-// Versions counts the ready targets of a service by version.
-func (r *Registry) Versions(service string) map[string]int {
+// CountReadyByVersion counts the ready targets of a service by version.
+func (r *Registry) CountReadyByVersion(service string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	versions := map[string]int{}
--- a/router/target/trial_test.go
+++ b/router/target/trial_test.go
@@ -48,7 +48,7 @@
 	r.Remove("old1")
 	barred.Exclude = map[string]bool{"old0": true, "old1": true}
 	is.True(!r.HasCandidate(barred))
-	is.Equal(r.Versions("s"), map[string]int{"new": 2})
+	is.Equal(r.CountReadyByVersion("s"), map[string]int{"new": 2})
 }
 
 // A target on trial that fails is asked on until its version is judged, though requests that need
