--- a/router/node/evacuation_test.go
+++ b/router/node/evacuation_test.go
@@ -45,7 +45,7 @@
 	f.log.Put(eventlog.Partition{Topic: topicConfig}, evacuationPrefix+"z1", []byte("garbled"))
 	f.evacuate("elsewhere", true)
 	f.evacuate("z2", false)
-	f.eventually("both are back", func() bool { return h.targets.Evacuated() == 1 })
+	f.eventually("both are back", func() bool { return h.targets.CountEvacuatedDomains() == 1 })
 	f.is.True(f.only(h, "one"))
 }
 
--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -23,7 +23,7 @@
 		n.observer.Gauge(fmt.Sprintf("copy_age_seconds{topic=%q}", topic), func() float64 { return copyAge(c) })
 	}
 	n.observer.Gauge("quarantine_entries", func() float64 { return float64(n.guard.Len()) })
-	n.observer.Gauge("domains_evacuated", func() float64 { return float64(n.targets.Evacuated()) })
+	n.observer.Gauge("domains_evacuated", func() float64 { return float64(n.targets.CountEvacuatedDomains()) })
 	n.observer.Gauge("config_version", func() float64 {
 		if c := n.handler.Config(); c != nil {
 			return float64(c.Version)
--- a/router/target/evacuate.go
+++ b/router/target/evacuate.go
@@ -78,8 +78,8 @@
 	}).Info(what)
 }
 
-// Evacuated counts the failure domains that are evacuated.
-func (r *Registry) Evacuated() int {
+// CountEvacuatedDomains counts the failure domains that are evacuated.
+func (r *Registry) CountEvacuatedDomains() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.evacuations)
--- a/router/target/evacuate_test.go
+++ b/router/target/evacuate_test.go
@@ -31,13 +31,13 @@
 	r.Evacuate("z1", 0)
 	r.Evacuate("z2", 0)
 	r.Evacuate("z1", 0) // told again
-	is.Equal(r.Evacuated(), 2)
+	is.Equal(r.CountEvacuatedDomains(), 2)
 	is.Equal(r.Choose(Requirements{Service: "s"}), nil)
 	r.EndEvacuation("z1")
 	is.Equal(chosen(r, Requirements{Service: "s"}, 3), map[string]int{"a": 3})
 	r.EndEvacuation("z1")
 	r.EndEvacuation("z2")
-	is.Equal(r.Evacuated(), 0)
+	is.Equal(r.CountEvacuatedDomains(), 0)
 	is.True(chosen(r, Requirements{Service: "s"}, 20)["b"] > 5)
 }
 
