--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -48,7 +48,7 @@
 	answers []pendingAnswer
 	topic   []topicRecord
 	want    target.Requirements
-	refused []target.Full // what requests that found no target were told
+	refused []target.LimitsExhausted // what requests that found no target were told
 	told    time.Time     // when all hosts were told of each other
 	served  int
 	stop    context.Context
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -133,15 +133,15 @@
 	return own, all
 }
 
-// Full is why no target takes a request: those that could name limits, and this host's part of these
+// LimitsExhausted is why no target takes a request: those that could name limits, and this host's part of these
 // is used up.
-type Full struct {
+type LimitsExhausted struct {
 	After time.Duration // when a place is likely to be free
 	Share bool          // this host has a part
 }
 
 // FullFor says whether a request finds no target since those that could take it name limits.
-func (r *Registry) FullFor(w Requirements) (f Full, full bool) {
+func (r *Registry) FullFor(w Requirements) (f LimitsExhausted, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
