--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -36,7 +36,7 @@
 	if !ok {
 		return NoTarget
 	}
-	q.after = full.After
+	q.after = full.RetryAfter
 	if !full.Share {
 		q.w.Header().Set("Connection", "close")
 	}
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -282,12 +282,12 @@
 			is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
 			full, ok := r.FullFor(target.Requirements{Service: "s"})
 			is.True(ok)
-			is.True(full.After >= last+400*time.Millisecond)
-			last = full.After
+			is.True(full.RetryAfter >= last+400*time.Millisecond)
+			last = full.RetryAfter
 		}
 		urgent, _ := r.FullFor(target.Requirements{Service: "s", Priority: 0})
 		later, _ := r.FullFor(target.Requirements{Service: "s", Priority: 5})
-		is.True(urgent.After > 0 && later.After > 0)
+		is.True(urgent.RetryAfter > 0 && later.RetryAfter > 0)
 		_, other := r.FullFor(target.Requirements{Service: "other"})
 		is.True(!other)
 	})
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -136,7 +136,7 @@
 // LimitsExhausted is why no target takes a request: those that could name limits, and this host's part of these
 // is used up.
 type LimitsExhausted struct {
-	After time.Duration // when a place is likely to be free
+	RetryAfter time.Duration // when a place is likely to be free
 	Share bool          // this host has a part
 }
 
@@ -153,7 +153,7 @@
 	if !f.Share {
 		own = all / float64(max(r.opts.Hosts(), 1))
 	}
-	f.After = r.rationOf(w.Service).comeBack(rankOf(w), own, now)
+	f.RetryAfter = r.rationOf(w.Service).comeBack(rankOf(w), own, now)
 	return f, true
 }
 
