--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -37,7 +37,7 @@
 		return NoTarget
 	}
 	q.after = full.RetryAfter
-	if !full.Share {
+	if !full.HasShare {
 		q.w.Header().Set("Connection", "close")
 	}
 	return TargetsFull
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -137,7 +137,7 @@
 // is used up.
 type LimitsExhausted struct {
 	RetryAfter time.Duration // when a place is likely to be free
-	Share bool          // this host has a part
+	HasShare bool          // this host has a part
 }
 
 // FullFor says whether a request finds no target since those that could take it name limits.
@@ -149,8 +149,8 @@
 		return f, false
 	}
 	own, all := r.places(w.Service)
-	f.Share = own > 0
-	if !f.Share {
+	f.HasShare = own > 0
+	if !f.HasShare {
 		own = all / float64(max(r.opts.Hosts(), 1))
 	}
 	f.RetryAfter = r.rationOf(w.Service).comeBack(rankOf(w), own, now)
