--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -32,7 +32,7 @@
 // noTarget says why no target takes the request, and sets what its caller is told where those that could
 // name limits: when to come back, and to another host if this one sends them nothing.
 func (q *request) noTarget() Kind {
-	full, ok := q.handler.opts.Targets.FullFor(q.want(q.excluded))
+	full, ok := q.handler.opts.Targets.LimitsExhaustedFor(q.want(q.excluded))
 	if !ok {
 		return NoTarget
 	}
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -280,15 +280,15 @@
 		var last time.Duration
 		for range 5 {
 			is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
-			full, ok := r.FullFor(target.Requirements{Service: "s"})
+			full, ok := r.LimitsExhaustedFor(target.Requirements{Service: "s"})
 			is.True(ok)
 			is.True(full.RetryAfter >= last+400*time.Millisecond)
 			last = full.RetryAfter
 		}
-		urgent, _ := r.FullFor(target.Requirements{Service: "s", Priority: 0})
-		later, _ := r.FullFor(target.Requirements{Service: "s", Priority: 5})
+		urgent, _ := r.LimitsExhaustedFor(target.Requirements{Service: "s", Priority: 0})
+		later, _ := r.LimitsExhaustedFor(target.Requirements{Service: "s", Priority: 5})
 		is.True(urgent.RetryAfter > 0 && later.RetryAfter > 0)
-		_, other := r.FullFor(target.Requirements{Service: "other"})
+		_, other := r.LimitsExhaustedFor(target.Requirements{Service: "other"})
 		is.True(!other)
 	})
 }
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -252,7 +252,7 @@
 func (f *limitFleet) ask(h *limitHost) {
 	chosen := h.targets.Choose(f.want)
 	if chosen == nil {
-		full, _ := h.targets.FullFor(f.want)
+		full, _ := h.targets.LimitsExhaustedFor(f.want)
 		f.refused = append(f.refused, full)
 		return
 	}
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -140,8 +140,8 @@
 	HasShare bool          // this host has a part
 }
 
-// FullFor says whether a request finds no target since those that could take it name limits.
-func (r *Registry) FullFor(w Requirements) (f LimitsExhausted, full bool) {
+// LimitsExhaustedFor says whether a request finds no target since those that could take it name limits.
+func (r *Registry) LimitsExhaustedFor(w Requirements) (f LimitsExhausted, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
