--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -49,7 +49,7 @@
 // awaitPlace waits a moment for a target that goes on with a stream whose beginning its caller has:
 // refused, it would be lost. It says whether one may be found then.
 func (q *request) awaitPlace(ctx context.Context) bool {
-	if q.stream == nil || !q.stream.begun || !q.handler.opts.Targets.HasPlaces(q.want(q.excluded)) {
+	if q.stream == nil || !q.stream.begun || !q.handler.opts.Targets.HasLimitShare(q.want(q.excluded)) {
 		return false
 	}
 	select {
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -157,9 +157,9 @@
 	return f, true
 }
 
-// HasPlaces says whether this host may send requests, though not now, where all targets that could
+// HasLimitShare says whether this host may send requests, though not now, where all targets that could
 // take one name limits.
-func (r *Registry) HasPlaces(w Requirements) bool {
+func (r *Registry) HasLimitShare(w Requirements) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own, _ := r.places(w.Service)
