--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -26,7 +26,7 @@
 		targets.MalformedLimit(c.target, err)
 		return
 	}
-	targets.StateLimit(c.target, statement)
+	targets.RecordLimit(c.target, statement)
 }
 
 // noTarget says why no target takes the request, and sets what its caller is told where those that could
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -101,8 +101,8 @@
 // leastAsksAnew is how long a host without a share waits at least before it asks a target anew.
 const leastAsksAnew = 10 * time.Second
 
-// StateLimit takes over what an answer of a target says of its limit.
-func (r *Registry) StateLimit(t *Target, s limit.Statement) {
+// RecordLimit takes over what an answer of a target says of its limit.
+func (r *Registry) RecordLimit(t *Target, s limit.Statement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.limit.malformed = false
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -123,7 +123,7 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if t := r.Choose(target.Requirements{Service: "s"}); t != nil {
 			n++
-			r.StateLimit(t, said)
+			r.RecordLimit(t, said)
 		}
 	}
 	return n
@@ -234,7 +234,7 @@
 		is := is.New(t)
 		r := newLimited("t0", "t1", "t2", "t3")
 		for range 4 { // each names 5 a second
-			r.StateLimit(r.Choose(target.Requirements{Service: "s"}), named(5))
+			r.RecordLimit(r.Choose(target.Requirements{Service: "s"}), named(5))
 		}
 		asked, served := map[int]int{}, map[int]int{}
 		for range 6000 { // a minute: 10 urgent requests a second, 30 and 30 others
@@ -242,7 +242,7 @@
 			asked[rank]++
 			if c := r.Choose(target.Requirements{Service: "s", Priority: rank}); c != nil {
 				served[rank]++
-				r.StateLimit(c, named(5))
+				r.RecordLimit(c, named(5))
 			}
 			time.Sleep(time.Second * 60 / 6000 * 100 / 70)
 		}
@@ -276,7 +276,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newLimited("t")
-		r.StateLimit(r.Choose(target.Requirements{Service: "s"}), named(2))
+		r.RecordLimit(r.Choose(target.Requirements{Service: "s"}), named(2))
 		var last time.Duration
 		for range 5 {
 			is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -239,7 +239,7 @@
 		if a.said.Refusal {
 			result = target.Refused
 		}
-		a.host.targets.StateLimit(a.entry, a.said)
+		a.host.targets.RecordLimit(a.entry, a.said)
 		a.host.targets.EndRequest(a.entry, 0, result)
 		if _, had := a.host.told[a.target]; a.said.Named && !had {
 			a.host.told[a.target] = now
