--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -23,7 +23,7 @@
 	targets := c.request.handler.opts.Targets
 	statement, err := limit.Parse(resp.Header[names.Limit], refusal)
 	if err != nil {
-		targets.MalformedLimit(c.target, err)
+		targets.RecordMalformedLimit(c.target, err)
 		return
 	}
 	targets.RecordLimit(c.target, statement)
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -194,9 +194,9 @@
 	return list
 }
 
-// MalformedLimit logs that an answer of a target named a limit that can't be read. It changes
+// RecordMalformedLimit logs that an answer of a target named a limit that can't be read. It changes
 // nothing: it tells neither of a limit nor of the end of one.
-func (r *Registry) MalformedLimit(t *Target, err error) {
+func (r *Registry) RecordMalformedLimit(t *Target, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !t.limit.malformed {
