--- a/router/node/limits_test.go
+++ b/router/node/limits_test.go
@@ -80,7 +80,7 @@
 	f.eventually("the limit stands in the log", func() bool {
 		f.askFor(100 * time.Millisecond)
 		for _, h := range f.hosts {
-			if limits := h.targets.Limits(); len(limits) == 0 || !limits[0].Told {
+			if limits := h.targets.Limits(); len(limits) == 0 || !limits[0].Published {
 				return false
 			}
 		}
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -172,7 +172,7 @@
 	Share     float64 // of it, that this host may send
 	Sent      uint64  // by this host since then
 	Since     time.Time
-	Told      bool // the log tells of it, as far as this host has read it
+	Published      bool // the log tells of it, as far as this host has read it
 }
 
 // Limits lists the targets that name a limit.
@@ -185,7 +185,7 @@
 			continue
 		}
 		s := LimitStatus{Target: t.ID, Service: t.Service, PerSecond: t.limit.perSecond, Sent: t.limit.sent, Since: t.limit.since,
-			Told: t.limit.news.posted.InForce}
+			Published: t.limit.news.posted.InForce}
 		if t.limit.share.self {
 			s.Share = 1 / t.limit.share.pause.Seconds()
 		}
