--- a/router/node/limits.go
+++ b/router/node/limits.go
@@ -62,7 +62,7 @@
 func (n *Node) followLimits(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, notice := range n.limitNotices.takeAll() {
-			n.targets.LearnLimit(notice)
+			n.targets.ApplyLimitNotice(notice)
 		}
 		for _, notice := range n.targets.LimitNotices(time.Now()) {
 			n.writeLimit(ctx, notice)
--- a/router/target/choose_bench_test.go
+++ b/router/target/choose_bench_test.go
@@ -19,7 +19,7 @@
 				h.targets.Put(target.Entry{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Slots: 64})
 			}
 			for i := range limited {
-				h.targets.LearnLimit(limit.Notice{Target: fmt.Sprint("t", i), PerSecond: 5, InForce: true})
+				h.targets.ApplyLimitNotice(limit.Notice{Target: fmt.Sprint("t", i), PerSecond: 5, InForce: true})
 			}
 			for b.Loop() {
 				c := h.targets.Choose(target.Requirements{Service: "s"})
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -179,13 +179,13 @@
 		entry := target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, StartedAt: time.Now()}
 		r.Put(entry)
 		old := limit.Notice{Target: "t", Born: entry.StartedAt.UnixMilli(), PerSecond: 1, InForce: true}
-		r.LearnLimit(old)
+		r.ApplyLimitNotice(old)
 		is.Equal(len(r.Limits()), 1)
 		time.Sleep(time.Second)
 		entry.StartedAt = time.Now()
 		r.Put(entry)
 		is.Equal(len(r.Limits()), 0)
-		r.LearnLimit(old)
+		r.ApplyLimitNotice(old)
 		is.Equal(len(r.Limits()), 0)
 	})
 }
@@ -196,7 +196,7 @@
 		is := is.New(t)
 		r := newLimited("here")
 		for _, id := range []string{"here", "gone"} {
-			r.LearnLimit(limit.Notice{Target: id, PerSecond: 1, InForce: true})
+			r.ApplyLimitNotice(limit.Notice{Target: id, PerSecond: 1, InForce: true})
 		}
 		var deleted []limit.Notice
 		for range 60 {
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -221,7 +221,7 @@
 		if !ok || err != nil {
 			panic(err)
 		}
-		h.targets.LearnLimit(n)
+		h.targets.ApplyLimitNotice(n)
 	}
 }
 
--- a/router/target/limitnews.go
+++ b/router/target/limitnews.go
@@ -135,8 +135,8 @@
 	return !t.life.another(Incarnation{ID: p.Target, StartedAt: p.Born})
 }
 
-// LearnLimit takes over a notice of the log.
-func (r *Registry) LearnLimit(n limit.Notice) {
+// ApplyLimitNotice takes over a notice of the log.
+func (r *Registry) ApplyLimitNotice(n limit.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n.InForce {
