--- a/router/node/limits.go
+++ b/router/node/limits.go
@@ -64,7 +64,7 @@
 		for _, notice := range n.limitNotices.takeAll() {
 			n.targets.ApplyLimitNotice(notice)
 		}
-		for _, notice := range n.targets.LimitNotices(time.Now()) {
+		for _, notice := range n.targets.DueLimitNotices(time.Now()) {
 			n.writeLimit(ctx, notice)
 		}
 		n.untilLimits(ctx)
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -200,7 +200,7 @@
 		}
 		var deleted []limit.Notice
 		for range 60 {
-			deleted = append(deleted, r.LimitNotices(time.Now())...)
+			deleted = append(deleted, r.DueLimitNotices(time.Now())...)
 			time.Sleep(time.Second)
 		}
 		is.Equal(deleted, []limit.Notice{{Target: "gone"}})
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -204,7 +204,7 @@
 	}
 	if !now.Before(h.looks) {
 		h.looks = now.Add(noticeLook)
-		for _, n := range h.targets.LimitNotices(now) {
+		for _, n := range h.targets.DueLimitNotices(now) {
 			rec, err := n.Record()
 			if err != nil {
 				panic(err)
--- a/router/target/limitnews.go
+++ b/router/target/limitnews.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// LimitNotices lists what this host is to write to the log about limits by now.
-func (r *Registry) LimitNotices(now time.Time) []limit.Notice {
+// DueLimitNotices lists what this host is to write to the log about limits by now.
+func (r *Registry) DueLimitNotices(now time.Time) []limit.Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []limit.Notice
