--- a/router/limit/limit.go
+++ b/router/limit/limit.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Statement is what one answer says of its target's limit.
-type Statement struct {
+// Advertisement is what one answer says of its target's limit.
+type Advertisement struct {
 	Named     bool
 	PerSecond float64 // requests a second from all hosts together; 0 is a limit, too
 	Refusal   bool    // the answer is that the request was not run
@@ -37,8 +37,8 @@
 
 // Parse reads the values that an answer has for the limit of its target; none: it names no limit.
 // Its error is a *ValueError.
-func Parse(values []string, refusal bool) (Statement, error) {
-	s := Statement{Refusal: refusal}
+func Parse(values []string, refusal bool) (Advertisement, error) {
+	s := Advertisement{Refusal: refusal}
 	switch {
 	case len(values) == 0:
 		return s, nil
--- a/router/limit/limit_test.go
+++ b/router/limit/limit_test.go
@@ -17,12 +17,12 @@
 		is := is.New(t)
 		s, err := Parse([]string{text}, false)
 		is.NoErr(err)
-		is.Equal(s, Statement{Named: true, PerSecond: want})
+		is.Equal(s, Advertisement{Named: true, PerSecond: want})
 	}
 	is := is.New(t)
 	s, err := Parse(nil, true)
 	is.NoErr(err)
-	is.Equal(s, Statement{Refusal: true})
+	is.Equal(s, Advertisement{Refusal: true})
 }
 
 func TestValuesThatNameNoLimit(t *testing.T) {
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -102,7 +102,7 @@
 const leastAsksAnew = 10 * time.Second
 
 // RecordLimit takes over what an answer of a target says of its limit.
-func (r *Registry) RecordLimit(t *Target, s limit.Statement) {
+func (r *Registry) RecordLimit(t *Target, s limit.Advertisement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.limit.malformed = false
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -119,7 +119,7 @@
 }
 
 // chosenIn counts how often the only target of a service is chosen in a time.
-func chosenIn(r *target.Registry, d time.Duration, said limit.Statement) (n int) {
+func chosenIn(r *target.Registry, d time.Duration, said limit.Advertisement) (n int) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if t := r.Choose(target.Requirements{Service: "s"}); t != nil {
 			n++
@@ -129,8 +129,8 @@
 	return n
 }
 
-func named(perSecond float64) limit.Statement {
-	return limit.Statement{Named: true, PerSecond: perSecond}
+func named(perSecond float64) limit.Advertisement {
+	return limit.Advertisement{Named: true, PerSecond: perSecond}
 }
 
 // Guards against a limit of zero that is taken for none, or after which a target gets nothing for good.
@@ -141,7 +141,7 @@
 		chosenIn(r, 100*time.Millisecond, named(0))
 		n := chosenIn(r, time.Minute, named(0))
 		is.True(n >= 1 && n <= 6) // to hear of its end
-		is.True(chosenIn(r, 20*time.Second, limit.Statement{}) > 50)
+		is.True(chosenIn(r, 20*time.Second, limit.Advertisement{}) > 50)
 	})
 }
 
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -74,7 +74,7 @@
 // limitedTarget is a target and what it got.
 type limitedTarget struct {
 	id      string
-	said    limit.Statement
+	said    limit.Advertisement
 	onlyIn  bool // it names its limit in refusals only, which it gives beyond its limit
 	sends   []limitedSend
 	windows []limitWindow
@@ -98,7 +98,7 @@
 	host   *limitHost
 	target *limitedTarget
 	entry  *target.Target
-	said   limit.Statement
+	said   limit.Advertisement
 }
 
 // acceptingLog takes all announcements.
@@ -163,7 +163,7 @@
 // name lets a target name a limit from now on.
 func (f *limitFleet) name(t *limitedTarget, perSecond float64) {
 	f.unname(t)
-	t.said = limit.Statement{Named: true, PerSecond: perSecond}
+	t.said = limit.Advertisement{Named: true, PerSecond: perSecond}
 	t.windows = append(t.windows, limitWindow{from: time.Now(), perSecond: perSecond, changed: len(t.windows) > 0})
 }
 
@@ -172,7 +172,7 @@
 	if n := len(t.windows); n > 0 && t.windows[n-1].to.IsZero() {
 		t.windows[n-1].to = time.Now()
 	}
-	t.said = limit.Statement{}
+	t.said = limit.Advertisement{}
 }
 
 // run lets callers ask for a while.
@@ -266,16 +266,16 @@
 }
 
 // answer is what a target says of its limit as it answers a request.
-func (t *limitedTarget) answer(now time.Time) limit.Statement {
+func (t *limitedTarget) answer(now time.Time) limit.Advertisement {
 	if !t.onlyIn || !t.said.Named {
 		return t.said
 	}
 	t.recent = slices.DeleteFunc(t.recent, func(at time.Time) bool { return now.Sub(at) >= time.Second })
 	if float64(len(t.recent)) < max(t.said.PerSecond, 1) {
 		t.recent = append(t.recent, now)
-		return limit.Statement{}
+		return limit.Advertisement{}
 	}
-	return limit.Statement{Named: true, PerSecond: t.said.PerSecond, Refusal: true}
+	return limit.Advertisement{Named: true, PerSecond: t.said.PerSecond, Refusal: true}
 }
 
 func (f *limitFleet) targetOf(id string) *limitedTarget {
