--- a/router/limit/limit.go
+++ b/router/limit/limit.go
@@ -11,7 +11,7 @@
 
 // Advertisement is what one answer says of its target's limit.
 type Advertisement struct {
-	Named     bool
+	HasLimit     bool
 	PerSecond float64 // requests a second from all hosts together; 0 is a limit, too
 	Refusal   bool    // the answer is that the request was not run
 }
@@ -56,6 +56,6 @@
 	if perSecond > mostPerSecond {
 		return s, &ValueError{values, "is more than any target takes"}
 	}
-	s.Named, s.PerSecond = true, perSecond
+	s.HasLimit, s.PerSecond = true, perSecond
 	return s, nil
 }
--- a/router/limit/limit_test.go
+++ b/router/limit/limit_test.go
@@ -17,7 +17,7 @@
 		is := is.New(t)
 		s, err := Parse([]string{text}, false)
 		is.NoErr(err)
-		is.Equal(s, Advertisement{Named: true, PerSecond: want})
+		is.Equal(s, Advertisement{HasLimit: true, PerSecond: want})
 	}
 	is := is.New(t)
 	s, err := Parse(nil, true)
@@ -34,7 +34,7 @@
 		s, err := Parse(values, false)
 		var bad *ValueError
 		is.True(errors.As(err, &bad))
-		is.True(!s.Named)
+		is.True(!s.HasLimit)
 		is.True(len(err.Error()) < 1000)
 	}
 }
@@ -46,7 +46,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse([]string{text}, false)
-		if s.Named != (err == nil) || !(s.PerSecond >= 0 && s.PerSecond <= mostPerSecond) {
+		if s.HasLimit != (err == nil) || !(s.PerSecond >= 0 && s.PerSecond <= mostPerSecond) {
 			t.Fatalf("%q: %+v, %v", text, s, err)
 		}
 	})
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -106,12 +106,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.limit.malformed = false
-	if !s.Named && !t.limit.inForce && !t.limit.news.posted.InForce {
+	if !s.HasLimit && !t.limit.inForce && !t.limit.news.posted.InForce {
 		return
 	}
 	now := time.Now()
 	switch {
-	case s.Named:
+	case s.HasLimit:
 		t.limit.byRefusals = s.Refusal && (t.limit.byRefusals || !t.limit.inForce)
 		t.limit.heard, t.limit.quiet, t.limit.raises = now, now, 0
 		r.putLimit(t, s.PerSecond, now)
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -130,7 +130,7 @@
 }
 
 func named(perSecond float64) limit.Advertisement {
-	return limit.Advertisement{Named: true, PerSecond: perSecond}
+	return limit.Advertisement{HasLimit: true, PerSecond: perSecond}
 }
 
 // Guards against a limit of zero that is taken for none, or after which a target gets nothing for good.
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -163,7 +163,7 @@
 // name lets a target name a limit from now on.
 func (f *limitFleet) name(t *limitedTarget, perSecond float64) {
 	f.unname(t)
-	t.said = limit.Advertisement{Named: true, PerSecond: perSecond}
+	t.said = limit.Advertisement{HasLimit: true, PerSecond: perSecond}
 	t.windows = append(t.windows, limitWindow{from: time.Now(), perSecond: perSecond, changed: len(t.windows) > 0})
 }
 
@@ -241,7 +241,7 @@
 		}
 		a.host.targets.RecordLimit(a.entry, a.said)
 		a.host.targets.EndRequest(a.entry, 0, result)
-		if _, had := a.host.told[a.target]; a.said.Named && !had {
+		if _, had := a.host.told[a.target]; a.said.HasLimit && !had {
 			a.host.told[a.target] = now
 		}
 	}
@@ -267,7 +267,7 @@
 
 // answer is what a target says of its limit as it answers a request.
 func (t *limitedTarget) answer(now time.Time) limit.Advertisement {
-	if !t.onlyIn || !t.said.Named {
+	if !t.onlyIn || !t.said.HasLimit {
 		return t.said
 	}
 	t.recent = slices.DeleteFunc(t.recent, func(at time.Time) bool { return now.Sub(at) >= time.Second })
@@ -275,7 +275,7 @@
 		t.recent = append(t.recent, now)
 		return limit.Advertisement{}
 	}
-	return limit.Advertisement{Named: true, PerSecond: t.said.PerSecond, Refusal: true}
+	return limit.Advertisement{HasLimit: true, PerSecond: t.said.PerSecond, Refusal: true}
 }
 
 func (f *limitFleet) targetOf(id string) *limitedTarget {
