--- a/router/limit/notice_test.go
+++ b/router/limit/notice_test.go
@@ -11,7 +11,7 @@
 // Guards against a notice that other hosts read otherwise than it was meant.
 func TestNoticeIsReadAsItWasWritten(t *testing.T) {
 	for _, n := range []Notice{
-		{Target: "t", PerSecond: 1.5, Born: 7, Host: "h", AgeMs: 300, InForce: true},
+		{Target: "t", PerSecond: 1.5, StartedAt: 7, Host: "h", AgeMs: 300, InForce: true},
 		{Target: "t", PerSecond: 0, ByRefusals: true, Raises: 2, InForce: true},
 		{Target: "t"},
 	} {
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -178,7 +178,7 @@
 		r := target.NewRegistry(target.Options{})
 		entry := target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, StartedAt: time.Now()}
 		r.Put(entry)
-		old := limit.Notice{Target: "t", Born: entry.StartedAt.UnixMilli(), PerSecond: 1, InForce: true}
+		old := limit.Notice{Target: "t", StartedAt: entry.StartedAt.UnixMilli(), PerSecond: 1, InForce: true}
 		r.ApplyLimitNotice(old)
 		is.Equal(len(r.Limits()), 1)
 		time.Sleep(time.Second)
--- a/router/target/limitnews.go
+++ b/router/target/limitnews.go
@@ -44,7 +44,7 @@
 
 // notice is what this host knows of a target's limit.
 func (t *Target) notice() limit.Notice {
-	n := limit.Notice{Target: t.ID, Born: t.life.StartedAt, InForce: t.limit.inForce}
+	n := limit.Notice{Target: t.ID, StartedAt: t.life.StartedAt, InForce: t.limit.inForce}
 	if n.InForce {
 		n.PerSecond, n.ByRefusals, n.Raises = t.limit.perSecond, t.limit.byRefusals, t.limit.raises
 	}
@@ -132,7 +132,7 @@
 
 // tellsOf says whether a notice tells of this life of a target.
 func (p *posted) tellsOf(t *Target) bool {
-	return !t.life.another(Incarnation{ID: p.Target, StartedAt: p.Born})
+	return !t.life.another(Incarnation{ID: p.Target, StartedAt: p.StartedAt})
 }
 
 // ApplyLimitNotice takes over a notice of the log.
