--- a/router/forward/headers.go
+++ b/router/forward/headers.go
@@ -114,7 +114,7 @@
 		writeHeader(b, h.names.Organisation, q.organisation.Name)
 	}
 	if q.engine != nil {
-		writeHeader(b, h.names.Priority, strconv.Itoa(q.config.Rank(q.organisation, q.route)))
+		writeHeader(b, h.names.Priority, strconv.Itoa(q.config.RequestPriority(q.organisation, q.route)))
 	}
 	if id := q.lastEventID(); id != "" {
 		writeHeader(b, h.names.LastEventID, id)
--- a/router/routing/config.go
+++ b/router/routing/config.go
@@ -201,9 +201,9 @@
 // maxPriority is the least urgent priority of an engine.
 const maxPriority = 9
 
-// Rank is the priority of a request at an engine, 0 (first) to 9: the organisation's
+// RequestPriority is the priority of a request at an engine, 0 (first) to 9: the organisation's
 // priority goes before the route's.
-func (c *Config) Rank(organisation *Organisation, route *Route) int {
+func (c *Config) RequestPriority(organisation *Organisation, route *Route) int {
 	rank := route.Priority
 	if organisation != nil {
 		rank += organisation.Priority * (c.maxRank + 1)
--- a/router/routing/config_test.go
+++ b/router/routing/config_test.go
@@ -64,10 +64,10 @@
 	is := is.New(t)
 	c := parse(t, config)
 	urgent, late := c.Match("a.example", "/x/"), c.Match("a.example", "/x/y/")
-	is.Equal(c.Rank(c.Organisation("u"), urgent), 0)
-	is.Equal(c.Rank(c.Organisation("u"), late), 2)
-	is.Equal(c.Rank(c.Organisation("t"), urgent), 3) // the organisation's goes first
-	is.Equal(c.Rank(nil, late), 2)
+	is.Equal(c.RequestPriority(c.Organisation("u"), urgent), 0)
+	is.Equal(c.RequestPriority(c.Organisation("u"), late), 2)
+	is.Equal(c.RequestPriority(c.Organisation("t"), urgent), 3) // the organisation's goes first
+	is.Equal(c.RequestPriority(nil, late), 2)
 }
 
 func TestPickFollowsWeights(t *testing.T) {
