--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -38,7 +38,7 @@
 	if q.regions().None() {
 		return NoRegion, nil
 	}
-	q.service = q.route.Pick(rand.Float64())
+	q.service = q.route.PickService(rand.Float64())
 	if s := q.config.Service(q.service); s != nil {
 		q.engine = s.Engine
 	}
--- a/router/routing/config.go
+++ b/router/routing/config.go
@@ -211,8 +211,8 @@
 	return min(max(rank, 0), maxPriority)
 }
 
-// Pick chooses the service of a request; draw is a random number in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService chooses the service of a request; draw is a random number in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	if len(r.Split) == 0 {
 		return r.Service
 	}
--- a/router/routing/config_test.go
+++ b/router/routing/config_test.go
@@ -75,12 +75,12 @@
 	r := Route{Split: []Weight{{"a", 90}, {"b", 10}, {"c", 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Pick(float64(i)/1000)]++
+		counts[r.PickService(float64(i)/1000)]++
 	}
 	is.Equal(counts["a"], 900)
 	is.Equal(counts["b"], 100)
 	plain := Route{Service: "d"}
-	is.Equal(plain.Pick(0.5), "d")
+	is.Equal(plain.PickService(0.5), "d")
 }
 
 func TestBadConfigurations(t *testing.T) {
