--- a/router/routing/regions.go
+++ b/router/routing/regions.go
@@ -9,8 +9,8 @@
 // all of them; an empty list means none.
 type Regions []string
 
-// Has says whether a region is among them. A region that is not known, "", is only among all.
-func (r Regions) Has(region string) bool {
+// Contains says whether a region is among them. A region that is not known, "", is only among all.
+func (r Regions) Contains(region string) bool {
 	return r == nil || region != "" && slices.Contains(r, region)
 }
 
@@ -27,7 +27,7 @@
 	}
 	both := Regions{}
 	for _, region := range r {
-		if o.Has(region) {
+		if o.Contains(region) {
 			both = append(both, region)
 		}
 	}
--- a/router/routing/regions_test.go
+++ b/router/routing/regions_test.go
@@ -27,9 +27,9 @@
 
 func TestUnknownRegionIsOnlyAmongAll(t *testing.T) {
 	is := is.New(t)
-	is.True(Regions(nil).Has(""))
-	is.True(!Regions{"north", ""}.Has(""))
-	is.True(!Regions{}.Has("north"))
+	is.True(Regions(nil).Contains(""))
+	is.True(!Regions{"north", ""}.Contains(""))
+	is.True(!Regions{}.Contains("north"))
 	is.True(Regions{}.None())
 	is.True(!Regions(nil).None())
 	is.Equal(Regions(nil).String(), "all")
--- a/router/target/choose.go
+++ b/router/target/choose.go
@@ -122,7 +122,7 @@
 
 // mayServe says whether a target is one that the request may go to at all; the lock is held.
 func (r *Registry) mayServe(w Requirements, t *Target, now time.Time) bool {
-	return !w.Exclude[t.ID] && !r.evacuations[t.Domain].left(t.ID, now) && w.Regions.Has(r.opts.Regions[t.Domain]) && w.Versions.Allows(t.Version)
+	return !w.Exclude[t.ID] && !r.evacuations[t.Domain].left(t.ID, now) && w.Regions.Contains(r.opts.Regions[t.Domain]) && w.Versions.Allows(t.Version)
 }
 
 // load is how busy a target is, in requests of this host.
