--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -35,7 +35,7 @@
 	if !h.opts.Overload.Admit(q.arrived) {
 		return HostBusy, nil
 	}
-	if q.regions().None() {
+	if q.regions().Empty() {
 		return NoRegion, nil
 	}
 	q.service = q.route.PickService(rand.Float64())
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -53,7 +53,7 @@
 		if q.handler.opts.Quarantine.Held(q.digest) {
 			return q.giveUp(Quarantined, last)
 		}
-		if q.regions().None() {
+		if q.regions().Empty() {
 			return q.giveUp(NoRegion, last)
 		}
 		t := q.choose(q.excluded)
--- a/router/routing/regions.go
+++ b/router/routing/regions.go
@@ -14,8 +14,8 @@
 	return r == nil || region != "" && slices.Contains(r, region)
 }
 
-// None says that the request may be served nowhere.
-func (r Regions) None() bool { return r != nil && len(r) == 0 }
+// Empty says that the request may be served nowhere.
+func (r Regions) Empty() bool { return r != nil && len(r) == 0 }
 
 // And gives the regions that both have.
 func (r Regions) And(o Regions) Regions {
--- a/router/routing/regions_test.go
+++ b/router/routing/regions_test.go
@@ -21,7 +21,7 @@
 	is.Equal(c.Regions(two, nil), Regions{"north", "south"})
 	is.Equal(c.Regions(two, free), Regions{"north", "south"})
 	is.Equal(c.Regions(two, north), Regions{"north"}) // both
-	is.True(c.Regions(two, west).None())
+	is.True(c.Regions(two, west).Empty())
 	is.Equal(c.Regions(nil, west), Regions{"west"})
 }
 
@@ -30,8 +30,8 @@
 	is.True(Regions(nil).Contains(""))
 	is.True(!Regions{"north", ""}.Contains(""))
 	is.True(!Regions{}.Contains("north"))
-	is.True(Regions{}.None())
-	is.True(!Regions(nil).None())
+	is.True(Regions{}.Empty())
+	is.True(!Regions(nil).Empty())
 	is.Equal(Regions(nil).String(), "all")
 	is.Equal(Regions{"a", "b"}.String(), "a,b")
 }
