--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -84,7 +84,7 @@
 	if q.organisation != nil {
 		organisation = newest.Organisation(q.organisation.Name)
 	}
-	return regions.And(newest.Regions(newest.Match(q.r.Host, q.path()), organisation))
+	return regions.Intersect(newest.Regions(newest.Match(q.r.Host, q.path()), organisation))
 }
 
 // callerMargin is kept free before a caller's deadline for the last answer's way.
--- a/router/routing/regions.go
+++ b/router/routing/regions.go
@@ -17,8 +17,8 @@
 // Empty says that the request may be served nowhere.
 func (r Regions) Empty() bool { return r != nil && len(r) == 0 }
 
-// And gives the regions that both have.
-func (r Regions) And(o Regions) Regions {
+// Intersect gives the regions that both have.
+func (r Regions) Intersect(o Regions) Regions {
 	switch {
 	case r == nil:
 		return o
@@ -60,7 +60,7 @@
 		regions = given(route.AllowedRegions)
 	}
 	if organisation != nil {
-		regions = regions.And(given(organisation.AllowedRegions))
+		regions = regions.Intersect(given(organisation.AllowedRegions))
 	}
 	return regions
 }
