--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -166,7 +166,7 @@
 	began := time.Now()
 	conn, err := c.target.Pool.Get(dial, rest)
 	if now := time.Now(); c.dialled(ctx, conn, err) {
-		c.request.handler.opts.Overload.Dialled(c.target.ID, now.Sub(began), now)
+		c.request.handler.opts.Overload.RecordDial(c.target.ID, now.Sub(began), now)
 	}
 	return conn, err
 }
--- a/router/forward/overload_test.go
+++ b/router/forward/overload_test.go
@@ -12,7 +12,7 @@
 // slowDials makes connections to many targets seem to take so long.
 func (b *bench) slowDials(took time.Duration) {
 	for i := range 16 {
-		b.overload.Dialled(fmt.Sprint("t", i), took, time.Now())
+		b.overload.RecordDial(fmt.Sprint("t", i), took, time.Now())
 	}
 }
 
--- a/router/node/node_test.go
+++ b/router/node/node_test.go
@@ -64,7 +64,7 @@
 	h := f.start(f.settings("h1"))
 	f.ready(h)
 	for i := range 10 {
-		h.overload.Dialled(fmt.Sprint("t", i), time.Second, time.Now())
+		h.overload.RecordDial(fmt.Sprint("t", i), time.Second, time.Now())
 	}
 	f.is.True(!h.Ready())
 }
--- a/router/overload/overload.go
+++ b/router/overload/overload.go
@@ -53,8 +53,8 @@
 // New makes a monitor of a host at rest.
 func New() *Monitor { return &Monitor{dials: map[string]dial{}} }
 
-// Dialled takes in an attempt to connect, whether it succeeded or not.
-func (m *Monitor) Dialled(target string, took time.Duration, now time.Time) {
+// RecordDial takes in an attempt to connect, whether it succeeded or not.
+func (m *Monitor) RecordDial(target string, took time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dials[target] = dial{at: now, took: took}
--- a/router/overload/overload_test.go
+++ b/router/overload/overload_test.go
@@ -20,7 +20,7 @@
 // dials notes n connections in turn to some targets.
 func dials(m *Monitor, now time.Time, n, targets int, took time.Duration) {
 	for i := range n {
-		m.Dialled(fmt.Sprint("t", i%targets), took, now)
+		m.RecordDial(fmt.Sprint("t", i%targets), took, now)
 	}
 }
 
@@ -51,7 +51,7 @@
 	dials(m, now, 30, 1, 300*ms)
 	is.True(!m.Out(now))
 	for i := 1; i < 8; i++ {
-		m.Dialled(fmt.Sprint("t", i), 2*ms, now)
+		m.RecordDial(fmt.Sprint("t", i), 2*ms, now)
 	}
 	is.True(!m.Out(now))
 	is.True(!m.Overloaded(now))
@@ -67,7 +67,7 @@
 		if i%3 == 0 {
 			took = 2 * ms
 		}
-		m.Dialled(fmt.Sprint("t", i), took, now)
+		m.RecordDial(fmt.Sprint("t", i), took, now)
 	}
 	is.True(!m.Out(now))
 	is.True(m.Admit(now))
