--- a/router/node/node.go
+++ b/router/node/node.go
@@ -347,7 +347,7 @@
 func (n *Node) Draining() bool { return n.stopBegan.Load() != nil }
 
 // leaving says whether callers had better use other hosts.
-func (n *Node) leaving() bool { return n.Draining() || n.overload.Out(time.Now()) }
+func (n *Node) leaving() bool { return n.Draining() || n.overload.IsUnready(time.Now()) }
 
 // Ready says whether the host takes new connections.
 func (n *Node) Ready() bool {
--- a/router/overload/overload.go
+++ b/router/overload/overload.go
@@ -86,9 +86,9 @@
 	return times[int(fastPart*float64(len(times)))], true
 }
 
-// Out says whether callers had better use other hosts: the host is overloaded, or was
+// IsUnready says whether callers had better use other hosts: the host is overloaded, or was
 // a moment ago.
-func (m *Monitor) Out(now time.Time) bool {
+func (m *Monitor) IsUnready(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return now.Before(m.until)
--- a/router/overload/overload_test.go
+++ b/router/overload/overload_test.go
@@ -29,10 +29,10 @@
 	now := time.Unix(100, 0)
 	m := New()
 	dials(m, now, 20, 5, 2*ms)
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	is.True(m.Admit(now))
 	dials(m, now, 60, 5, 300*ms)
-	is.True(m.Out(now))
+	is.True(m.IsUnready(now))
 	is.True(m.Overloaded(now))
 	admitted := 0
 	for range 1000 {
@@ -49,11 +49,11 @@
 	now := time.Unix(100, 0)
 	m := New()
 	dials(m, now, 30, 1, 300*ms)
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	for i := 1; i < 8; i++ {
 		m.RecordDial(fmt.Sprint("t", i), 2*ms, now)
 	}
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	is.True(!m.Overloaded(now))
 }
 
@@ -69,7 +69,7 @@
 		}
 		m.RecordDial(fmt.Sprint("t", i), took, now)
 	}
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	is.True(m.Admit(now))
 }
 
@@ -82,7 +82,7 @@
 	now = now.Add(span + ms)
 	is.True(m.Admit(now))
 	is.True(!m.Overloaded(now))
-	is.True(m.Out(now))
+	is.True(m.IsUnready(now))
 	now = now.Add(rest)
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 }
