--- a/router/forward/outcome.go
+++ b/router/forward/outcome.go
@@ -55,7 +55,7 @@
 	BudgetWait:   {http.StatusServiceUnavailable, 5 * time.Second},
 	Stopping:     {http.StatusServiceUnavailable, 50 * time.Millisecond},
 	CatchingUp:   {http.StatusServiceUnavailable, 50 * time.Millisecond},
-	HostBusy:     {http.StatusServiceUnavailable, overload.Rebalance},
+	HostBusy:     {http.StatusServiceUnavailable, overload.RebalanceTime},
 	NoTarget:     {http.StatusServiceUnavailable, 200 * time.Millisecond},
 	NoRegion:     {http.StatusServiceUnavailable, operatorAfter},
 	TargetsFull:  {http.StatusServiceUnavailable, 200 * time.Millisecond},
--- a/router/overload/overload.go
+++ b/router/overload/overload.go
@@ -30,11 +30,11 @@
 	// rest is how long a host stays out after it was overloaded: callers are balanced
 	// anew within two looks, a second apart, and not sent back at once.
 	rest = 3 * time.Second
-	// Rebalance is the time until callers' new connections go to other hosts: two looks at
+	// RebalanceTime is the time until callers' new connections go to other hosts: two looks at
 	// this host's readiness. Callers who come back before it come to the same full host:
 	// told to come back after 50 ms in place of this, they were refused twice, which cost
 	// 0.01 of a day's worth where one organisation sends 2.5 to 7.5 times its usual.
-	Rebalance = 2 * time.Second
+	RebalanceTime = 2 * time.Second
 )
 
 // dial is the newest attempt to connect to a target.
