--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -54,7 +54,7 @@
 	guard.Go("target's end", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), endLook)
 		defer cancel()
-		ended := h.opts.Targets.ProbeEnded(ctx, t)
+		ended := h.opts.Targets.ProbeExited(ctx, t)
 		if ended {
 			h.opts.Quarantine.Broke(report)
 			h.opts.Observer.Broke(b)
--- a/router/target/ended.go
+++ b/router/target/ended.go
@@ -33,12 +33,12 @@
 // gone says whether the target ended a moment ago.
 func (t *Target) gone(now time.Time) bool { return t.ended && now.Sub(t.endedAt) < gonePause }
 
-// ProbeEnded says whether a target's process has ended, after something broke off there: nobody
+// ProbeExited says whether a target's process has ended, after something broke off there: nobody
 // takes connections at its address any more. It asks by a new connection, which is kept for
 // requests if it is made. A connection that broke alone, a cut or an overrun link don't
 // look so, nor does a target that was known to leave, whose end is planned. What other
 // requests still read says nothing: it may have been on its way at the end.
-func (r *Registry) ProbeEnded(ctx context.Context, t *Target) bool {
+func (r *Registry) ProbeExited(ctx context.Context, t *Target) bool {
 	check, own := r.endCheckOf(t)
 	if own {
 		check.ended = r.lookForEnd(ctx, t)
--- a/router/target/ended_test.go
+++ b/router/target/ended_test.go
@@ -30,7 +30,7 @@
 	b.Close()
 	var all sync.WaitGroup
 	for range 20 {
-		all.Go(func() { is.True(r.ProbeEnded(context.Background(), target)) })
+		all.Go(func() { is.True(r.ProbeExited(context.Background(), target)) })
 	}
 	all.Wait()
 }
@@ -40,32 +40,32 @@
 	r, target, b := endTarget(t)
 	b.Close()
 	target.RecordActivity(time.Now().Add(time.Second))
-	is.New(t).True(r.ProbeEnded(context.Background(), target))
+	is.New(t).True(r.ProbeExited(context.Background(), target))
 }
 
 // What breaks one connection, or is planned, is no end.
 func TestWhatIsNoEnd(t *testing.T) {
 	t.Run("one connection broke", func(t *testing.T) {
 		r, target, b := endTarget(t)
-		is.New(t).True(!r.ProbeEnded(context.Background(), target))
+		is.New(t).True(!r.ProbeExited(context.Background(), target))
 		until.True(t, "the connection is kept for a request", func() bool { return b.Connections() == 1 })
 	})
 	t.Run("a planned end", func(t *testing.T) {
 		r, target, b := endTarget(t)
 		r.Put(Entry{ID: "t1", Service: "s", Address: b.Address(), Domain: "z1", State: Draining})
 		b.Close()
-		is.New(t).True(!r.ProbeEnded(context.Background(), target))
+		is.New(t).True(!r.ProbeExited(context.Background(), target))
 	})
 	t.Run("its entry is gone", func(t *testing.T) {
 		r, target, b := endTarget(t)
 		r.Remove("t1")
 		b.Close()
-		is.New(t).True(!r.ProbeEnded(context.Background(), target))
+		is.New(t).True(!r.ProbeExited(context.Background(), target))
 	})
 	t.Run("nothing answers", func(t *testing.T) {
 		r, target, _ := endTarget(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		is.New(t).True(!r.ProbeEnded(ctx, target))
+		is.New(t).True(!r.ProbeExited(ctx, target))
 	})
 }
--- a/router/target/life_test.go
+++ b/router/target/life_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	r, target, b := endTarget(t)
 	b.Close()
-	is.True(r.ProbeEnded(t.Context(), target))
+	is.True(r.ProbeExited(t.Context(), target))
 	r.Put(entry("other", "z1"))
 	is.Equal(chosen(r, Requirements{Service: "s"}, 20), map[string]int{"other": 20})
 	is.Equal(r.Choose(Requirements{Service: "s", Exclude: map[string]bool{"other": true}}), target)
