--- a/router/limit/limit.go
+++ b/router/limit/limit.go
@@ -11,7 +11,7 @@
 
 // Advertisement is what one answer says of its target's limit.
 type Advertisement struct {
-	HasLimit     bool
+	HasLimit  bool
 	PerSecond float64 // requests a second from all hosts together; 0 is a limit, too
 	Refusal   bool    // the answer is that the request was not run
 }
--- a/router/limit/notice.go
+++ b/router/limit/notice.go
@@ -12,7 +12,7 @@
 // as the limit does.
 type Notice struct {
 	Target    string  `json:"target"`
-	StartedAt      int64   `json:"born,omitempty"` // start of the target's process in Unix milliseconds, 0: not told
+	StartedAt int64   `json:"born,omitempty"` // start of the target's process in Unix milliseconds, 0: not told
 	PerSecond float64 `json:"per_second"`
 	// ByRefusals says that only refusals name the limit, so that other answers don't tell of its end.
 	ByRefusals bool `json:"by_refusals,omitempty"`
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -172,7 +172,7 @@
 	Share     float64 // of it, that this host may send
 	Sent      uint64  // by this host since then
 	Since     time.Time
-	Published      bool // the log tells of it, as far as this host has read it
+	Published bool // the log tells of it, as far as this host has read it
 }
 
 // Limits lists the targets that name a limit.
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -49,7 +49,7 @@
 	topic   []topicRecord
 	want    target.Requirements
 	refused []target.LimitsExhausted // what requests that found no target were told
-	told    time.Time     // when all hosts were told of each other
+	told    time.Time                // when all hosts were told of each other
 	served  int
 	stop    context.Context
 }
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -137,7 +137,7 @@
 // is used up.
 type LimitsExhausted struct {
 	RetryAfter time.Duration // when a place is likely to be free
-	HasShare bool          // this host has a part
+	HasShare   bool          // this host has a part
 }
 
 // LimitsExhaustedFor says whether a request finds no target since those that could take it name limits.
