--- a/router/node/node.go
+++ b/router/node/node.go
@@ -77,7 +77,7 @@
 	overload     *overload.Monitor
 	unread       *unread.Book
 	guard        *quarantine.Guard
-	watch        *suspend.Watch
+	watch        *suspend.Detector
 	woke         atomic.Pointer[wake] // from the newest suspension
 	accounts     *accounts
 	ignored      *logging.Limiter // of lines about entries that name no target
--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -50,8 +50,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// Watch notices suspensions.
-type Watch struct {
+// Detector notices suspensions.
+type Detector struct {
 	clocks Clocks
 	onWake func(lost time.Duration)
 	start  time.Time
@@ -65,12 +65,12 @@
 }
 
 // New makes a watch that calls onWake after each suspension, before whoever noticed it goes on.
-func New(clocks Clocks, onWake func(lost time.Duration)) *Watch {
-	return &Watch{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Steady()}
+func New(clocks Clocks, onWake func(lost time.Duration)) *Detector {
+	return &Detector{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Steady()}
 }
 
 // Run looks until ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Detector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.Look()
 		wait.For(ctx, lookEvery)
@@ -78,7 +78,7 @@
 }
 
 // Look compares the clocks.
-func (w *Watch) Look() {
+func (w *Detector) Look() {
 	w.mu.Lock()
 	steady := w.clocks.Steady()
 	ahead := w.clocks.Boot() - steady
@@ -96,13 +96,13 @@
 // Arrived looks if a request's time suggests a suspension since the one before: the time of
 // day went on further than the steady clock. That costs no call to the system, and a time of
 // day that was set is told from a suspension by the look.
-func (w *Watch) Arrived(now time.Time) {
+func (w *Detector) Arrived(now time.Time) {
 	steady := now.Sub(w.start)
 	w.arrived(now.Round(0).Sub(w.start.Round(0)) - steady)
 }
 
 // arrived is Arrived with how far the time of day is ahead of the steady clock.
-func (w *Watch) arrived(ahead time.Duration) {
+func (w *Detector) arrived(ahead time.Duration) {
 	w.mu.Lock()
 	jump := ahead - w.wallAhead
 	w.wallAhead = ahead
@@ -113,7 +113,7 @@
 }
 
 // Lost is how long the host was suspended in all.
-func (w *Watch) Lost() time.Duration {
+func (w *Detector) Lost() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lost
