--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -72,13 +72,13 @@
 // Run looks until ctx ends.
 func (w *Detector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.Look()
+		w.Check()
 		wait.For(ctx, lookEvery)
 	}
 }
 
-// Look compares the clocks.
-func (w *Detector) Look() {
+// Check compares the clocks.
+func (w *Detector) Check() {
 	w.mu.Lock()
 	steady := w.clocks.Steady()
 	ahead := w.clocks.Boot() - steady
@@ -108,7 +108,7 @@
 	w.wallAhead = ahead
 	w.mu.Unlock()
 	if jump >= Least {
-		w.Look()
+		w.Check()
 	}
 }
 
--- a/router/suspend/suspend_test.go
+++ b/router/suspend/suspend_test.go
@@ -23,18 +23,18 @@
 	var told []time.Duration
 	w := New(h.clocks(), func(lost time.Duration) { told = append(told, lost) })
 	h.run(time.Minute)
-	w.Look()
+	w.Check()
 	is.Equal(len(told), 0)
 	h.suspend(10 * time.Second)
-	w.Look()
-	w.Look()
+	w.Check()
+	w.Check()
 	is.Equal(told, []time.Duration{10 * time.Second})
 	h.run(time.Second)
 	h.suspend(Least / 2) // too short
-	w.Look()
+	w.Check()
 	is.Equal(len(told), 1)
 	h.suspend(Least / 2) // but they add up
-	w.Look()
+	w.Check()
 	is.Equal(len(told), 2)
 	is.Equal(w.Lost(), 10*time.Second+Least)
 }
@@ -67,5 +67,5 @@
 	time.Sleep(20 * time.Millisecond)
 	is.True(c.Boot()-boot >= 20*time.Millisecond)
 	w := New(c, func(lost time.Duration) { t.Errorf("suspended for %v", lost) })
-	w.Look()
+	w.Check()
 }
