--- a/router/node/suspend.go
+++ b/router/node/suspend.go
@@ -79,7 +79,7 @@
 // catches up waits for that, which takes a few milliseconds where the log answers: it is served
 // by what holds now.
 func (n *Node) admits(ctx context.Context, arrived time.Time, streaming bool) forward.Kind {
-	n.watch.Arrived(arrived)
+	n.watch.RequestArrived(arrived)
 	for n.catchingUp() && ctx.Err() == nil && time.Since(arrived) < catchUpWait {
 		wait.For(ctx, catchUpLook)
 	}
--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -93,10 +93,10 @@
 	w.onWake(lost)
 }
 
-// Arrived looks if a request's time suggests a suspension since the one before: the time of
+// RequestArrived looks if a request's time suggests a suspension since the one before: the time of
 // day went on further than the steady clock. That costs no call to the system, and a time of
 // day that was set is told from a suspension by the look.
-func (w *Detector) Arrived(now time.Time) {
+func (w *Detector) RequestArrived(now time.Time) {
 	steady := now.Sub(w.start)
 	w.arrived(now.Round(0).Sub(w.start.Round(0)) - steady)
 }
--- a/router/suspend/suspend_test.go
+++ b/router/suspend/suspend_test.go
@@ -55,7 +55,7 @@
 	is.Equal(told, 0)
 	w.arrived(time.Minute)
 	is.Equal(told, 1)
-	w.Arrived(time.Now())
+	w.RequestArrived(time.Now())
 	is.Equal(told, 1)
 }
 
