--- a/router/node/node.go
+++ b/router/node/node.go
@@ -157,7 +157,7 @@
 }
 
 // lost is how long the host was suspended in all.
-func (n *Node) lost() time.Duration { return n.watch.Lost() }
+func (n *Node) lost() time.Duration { return n.watch.Total() }
 
 // drainPart is the part of the time allowed in which a leaving target may still
 // be chosen when no other is left.
--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// Lost is how long the host was suspended in all.
-func (w *Detector) Lost() time.Duration {
+// Total is how long the host was suspended in all.
+func (w *Detector) Total() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lost
--- a/router/suspend/suspend_test.go
+++ b/router/suspend/suspend_test.go
@@ -36,7 +36,7 @@
 	h.suspend(Least / 2) // but they add up
 	w.Check()
 	is.Equal(len(told), 2)
-	is.Equal(w.Lost(), 10*time.Second+Least)
+	is.Equal(w.Total(), 10*time.Second+Least)
 }
 
 // The first request after a suspension notices it, by the time of day. A time of day that was
