--- a/router/node/harness_test.go
+++ b/router/node/harness_test.go
@@ -125,7 +125,7 @@
 
 func (f *testFleet) start(cfg *settings.Settings) *host {
 	f.t.Helper()
-	return f.startWith(cfg, suspend.System())
+	return f.startWith(cfg, suspend.SystemClocks())
 }
 
 func (f *testFleet) startWith(cfg *settings.Settings, clocks suspend.Clocks) *host {
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -99,7 +99,7 @@
 
 // New puts a node together; Run starts it.
 func New(cfg *settings.Settings, outside Outside, incarnation string) *Node {
-	return newWith(cfg, outside, incarnation, suspend.System())
+	return newWith(cfg, outside, incarnation, suspend.SystemClocks())
 }
 
 // newWith is New with clocks of the caller's.
--- a/router/node/suspend_test.go
+++ b/router/node/suspend_test.go
@@ -20,7 +20,7 @@
 }
 
 func newPausable() *pausable {
-	p := &pausable{clocks: suspend.System()}
+	p := &pausable{clocks: suspend.SystemClocks()}
 	boot := p.clocks.Boot
 	p.clocks.Boot = func() time.Duration { return boot() + time.Duration(p.suspended.Load()) }
 	return p
--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -35,8 +35,8 @@
 	Boot   func() time.Duration // counts it
 }
 
-// System gives the system's clocks.
-func System() Clocks {
+// SystemClocks gives the system's clocks.
+func SystemClocks() Clocks {
 	start := time.Now()
 	return Clocks{Steady: func() time.Duration { return time.Since(start) }, Boot: sinceBoot}
 }
--- a/router/suspend/suspend_test.go
+++ b/router/suspend/suspend_test.go
@@ -61,7 +61,7 @@
 
 func TestSystemClocksAgree(t *testing.T) {
 	is := is.New(t)
-	c := System()
+	c := SystemClocks()
 	boot := c.Boot()
 	is.True(boot > 0)
 	time.Sleep(20 * time.Millisecond)
