--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -31,14 +31,14 @@
 
 // Clocks are the clocks that are compared.
 type Clocks struct {
-	Steady func() time.Duration // does not count a suspension
+	Monotonic func() time.Duration // does not count a suspension
 	Boot   func() time.Duration // counts it
 }
 
 // SystemClocks gives the system's clocks.
 func SystemClocks() Clocks {
 	start := time.Now()
-	return Clocks{Steady: func() time.Duration { return time.Since(start) }, Boot: sinceBoot}
+	return Clocks{Monotonic: func() time.Duration { return time.Since(start) }, Boot: sinceBoot}
 }
 
 // sinceBoot reads the clock since boot, 0 if there is none.
@@ -66,7 +66,7 @@
 
 // New makes a watch that calls onWake after each suspension, before whoever noticed it goes on.
 func New(clocks Clocks, onWake func(lost time.Duration)) *Detector {
-	return &Detector{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Steady()}
+	return &Detector{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Monotonic()}
 }
 
 // Run looks until ctx ends.
@@ -80,7 +80,7 @@
 // Check compares the clocks.
 func (w *Detector) Check() {
 	w.mu.Lock()
-	steady := w.clocks.Steady()
+	steady := w.clocks.Monotonic()
 	ahead := w.clocks.Boot() - steady
 	lost := ahead - w.last
 	if lost < Least {
--- a/router/suspend/suspend_test.go
+++ b/router/suspend/suspend_test.go
@@ -11,7 +11,7 @@
 type hands struct{ steady, boot time.Duration }
 
 func (h *hands) clocks() Clocks {
-	return Clocks{Steady: func() time.Duration { return h.steady }, Boot: func() time.Duration { return h.boot }}
+	return Clocks{Monotonic: func() time.Duration { return h.steady }, Boot: func() time.Duration { return h.boot }}
 }
 
 func (h *hands) run(d time.Duration)     { h.steady += d; h.boot += d }
