--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -21,9 +21,9 @@
 
 // Figures of the watch.
 const (
-	// Least is the shortest suspension that is told. Shorter ones are within what beliefs
+	// MinSuspension is the shortest suspension that is told. Shorter ones are within what beliefs
 	// may be late anyhow, and two clocks are not read at the same instant.
-	Least = 300 * time.Millisecond
+	MinSuspension = 300 * time.Millisecond
 	// lookEvery is the pause between two looks, in running time: a host that wakes
 	// notices it so soon, or with its first request.
 	lookEvery = 200 * time.Millisecond
@@ -83,7 +83,7 @@
 	steady := w.clocks.Monotonic()
 	ahead := w.clocks.Boot() - steady
 	lost := ahead - w.last
-	if lost < Least {
+	if lost < MinSuspension {
 		w.mu.Unlock()
 		return
 	}
@@ -107,7 +107,7 @@
 	jump := ahead - w.wallAhead
 	w.wallAhead = ahead
 	w.mu.Unlock()
-	if jump >= Least {
+	if jump >= MinSuspension {
 		w.Check()
 	}
 }
--- a/router/suspend/suspend_test.go
+++ b/router/suspend/suspend_test.go
@@ -30,13 +30,13 @@
 	w.Check()
 	is.Equal(told, []time.Duration{10 * time.Second})
 	h.run(time.Second)
-	h.suspend(Least / 2) // too short
+	h.suspend(MinSuspension / 2) // too short
 	w.Check()
 	is.Equal(len(told), 1)
-	h.suspend(Least / 2) // but they add up
+	h.suspend(MinSuspension / 2) // but they add up
 	w.Check()
 	is.Equal(len(told), 2)
-	is.Equal(w.Total(), 10*time.Second+Least)
+	is.Equal(w.Total(), 10*time.Second+MinSuspension)
 }
 
 // The first request after a suspension notices it, by the time of day. A time of day that was
@@ -51,7 +51,7 @@
 	w.arrived(0)
 	is.Equal(told, 0)
 	h.suspend(time.Minute)
-	w.arrived(Least / 2) // the time of day may be off by so much
+	w.arrived(MinSuspension / 2) // the time of day may be off by so much
 	is.Equal(told, 0)
 	w.arrived(time.Minute)
 	is.Equal(told, 1)
