--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -52,7 +52,7 @@
 	// Rollouts says which versions a request may use and is told how it fared there; nil: any.
 	Rollouts Rollouts
 	// Unread bounds what is held for callers that don't read.
-	Unread *unread.Book
+	Unread *unread.Tracker
 	// Leaving says that callers are to use other hosts: connections are to be closed.
 	Leaving func() bool
 	// Takes says whether a request that arrived may begin: OK, or why not. It may wait a
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -138,7 +138,7 @@
 	recorder *recorder
 	meter    *streampace.Estimator
 	overload *overload.Monitor
-	unread   *unread.Book
+	unread   *unread.Tracker
 	guard    *quarantine.Guard
 	backends map[string]*backend.Backend
 	draining atomic.Bool
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -75,7 +75,7 @@
 	fleet        *fleet.Fleet
 	retries      *retrybudget.Set
 	overload     *overload.Monitor
-	unread       *unread.Book
+	unread       *unread.Tracker
 	guard        *quarantine.Guard
 	watch        *suspend.Detector
 	woke         atomic.Pointer[wake] // from the newest suspension
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -28,8 +28,8 @@
 	lookEvery = 500 * time.Millisecond
 )
 
-// Book knows the answers under way and which of them wait for their callers.
-type Book struct {
+// Tracker knows the answers under way and which of them wait for their callers.
+type Tracker struct {
 	most  int64 // bytes
 	onCut func()
 	held  atomic.Int64 // for those that wait, and reserved
@@ -40,7 +40,7 @@
 
 // Answer is one that is passed to its caller, piece by piece.
 type Answer struct {
-	book *Book
+	book *Tracker
 	cut  func()
 
 	mu    sync.Mutex
@@ -49,12 +49,12 @@
 }
 
 // New makes a book that allows so many bytes; onCut is told of each caller that is cut.
-func New(most int64, onCut func()) *Book {
-	return &Book{most: most, onCut: onCut, answers: map[*Answer]struct{}{}}
+func New(most int64, onCut func()) *Tracker {
+	return &Tracker{most: most, onCut: onCut, answers: map[*Answer]struct{}{}}
 }
 
 // Open notes an answer; cut ends it and must not block.
-func (b *Book) Open(cut func()) *Answer {
+func (b *Tracker) Open(cut func()) *Answer {
 	a := &Answer{book: b, cut: cut}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // Close forgets an answer.
-func (b *Book) Close(a *Answer) {
+func (b *Tracker) Close(a *Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.answers, a)
@@ -110,7 +110,7 @@
 
 // Reserve sets so many bytes aside for an answer that is to be held whole, until Unreserve. It
 // says whether there is room: what comes within leastWait is bounded by nothing else.
-func (b *Book) Reserve(bytes int64) bool {
+func (b *Tracker) Reserve(bytes int64) bool {
 	if float64(b.held.Add(bytes)) <= wholePart*float64(b.most) {
 		return true
 	}
@@ -119,10 +119,10 @@
 }
 
 // Unreserve ends a Reserve of so many bytes.
-func (b *Book) Unreserve(bytes int64) { b.held.Add(-bytes) }
+func (b *Tracker) Unreserve(bytes int64) { b.held.Add(-bytes) }
 
 // Run looks at who waits until ctx ends.
-func (b *Book) Run(ctx context.Context) {
+func (b *Tracker) Run(ctx context.Context) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -145,7 +145,7 @@
 
 // look cuts callers that have waited for too long, and where all that is held is too much
 // those that have waited longest: they have taken nothing for the longest time.
-func (b *Book) look(now time.Time) {
+func (b *Tracker) look(now time.Time) {
 	waits, held := b.waits(now)
 	for _, w := range waits {
 		if w.waited < leastWait || held <= b.most && w.waited < patience {
@@ -164,7 +164,7 @@
 }
 
 // waits lists who waits, the longest first, and sums what is held for them.
-func (b *Book) waits(now time.Time) (list []waiting, held int64) {
+func (b *Tracker) waits(now time.Time) (list []waiting, held int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for a := range b.answers {
@@ -178,4 +178,4 @@
 }
 
 // Held is how many bytes are held for callers that have yet to take them, or reserved.
-func (b *Book) Held() int64 { return b.held.Load() }
+func (b *Tracker) Held() int64 { return b.held.Load() }
