--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -126,7 +126,7 @@
 	young    bool           // that try had run for a moment at most
 	spared   int            // of tries, those that a target's end broke and that can't have caused it
 	after    time.Duration  // when to come back, 0: as its kind says
-	unread   *unread.Answer // nil until the caller was passed something
+	unread   *unread.Response // nil until the caller was passed something
 	room     int64          // reserved for a whole answer, in bytes
 	end      End
 }
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -35,11 +35,11 @@
 	held  atomic.Int64 // for those that wait, and reserved
 
 	mu      sync.Mutex
-	answers map[*Answer]struct{}
+	answers map[*Response]struct{}
 }
 
-// Answer is one that is passed to its caller, piece by piece.
-type Answer struct {
+// Response is one that is passed to its caller, piece by piece.
+type Response struct {
 	book *Tracker
 	cut  func()
 
@@ -50,12 +50,12 @@
 
 // New makes a book that allows so many bytes; onCut is told of each caller that is cut.
 func New(most int64, onCut func()) *Tracker {
-	return &Tracker{most: most, onCut: onCut, answers: map[*Answer]struct{}{}}
+	return &Tracker{most: most, onCut: onCut, answers: map[*Response]struct{}{}}
 }
 
 // Open notes an answer; cut ends it and must not block.
-func (b *Tracker) Open(cut func()) *Answer {
-	a := &Answer{book: b, cut: cut}
+func (b *Tracker) Open(cut func()) *Response {
+	a := &Response{book: b, cut: cut}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answers[a] = struct{}{}
@@ -63,14 +63,14 @@
 }
 
 // Close forgets an answer.
-func (b *Tracker) Close(a *Answer) {
+func (b *Tracker) Close(a *Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.answers, a)
 }
 
 // Pass notes that the caller is passed a piece while so many bytes are held for it.
-func (a *Answer) Pass(bytes int64, now time.Time) {
+func (a *Response) Pass(bytes int64, now time.Time) {
 	a.mu.Lock()
 	a.since, a.bytes = now, bytes
 	a.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // Taken notes that the caller took the piece, or is gone.
-func (a *Answer) Taken() {
+func (a *Response) Taken() {
 	a.mu.Lock()
 	a.since = time.Time{}
 	a.mu.Unlock()
@@ -87,7 +87,7 @@
 
 // unread says since when the caller has taken nothing, and what is held for it; ok is false
 // if it took all.
-func (a *Answer) unread() (since time.Time, bytes int64, ok bool) {
+func (a *Response) unread() (since time.Time, bytes int64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.since, a.bytes, !a.since.IsZero()
@@ -95,7 +95,7 @@
 
 // cutIfWaiting cuts the caller unless it took the piece in the meantime: its connection may
 // carry the next one by then.
-func (a *Answer) cutIfWaiting(since time.Time) (cut bool) {
+func (a *Response) cutIfWaiting(since time.Time) (cut bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.since.Equal(since) {
@@ -137,7 +137,7 @@
 
 // waiting is an answer that waits.
 type waiting struct {
-	answer *Answer
+	answer *Response
 	since  time.Time
 	waited time.Duration
 	bytes  int64
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -24,7 +24,7 @@
 	b := New(most, func() { cuts++ })
 	random := rand.New(rand.NewPCG(1, 2))
 	type slow struct {
-		answer *Answer
+		answer *Response
 		ends   time.Time
 	}
 	var reading []slow
@@ -62,7 +62,7 @@
 	var cut []string
 	b := New(100, func() {})
 	now := time.Now()
-	pass := func(name string) *Answer {
+	pass := func(name string) *Response {
 		a := b.Open(func() { cut = append(cut, name) })
 		a.Pass(50, now)
 		return a
