--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -150,7 +150,7 @@
 	}
 	q.freeRoom()
 	if q.unread != nil {
-		q.handler.opts.Unread.Close(q.unread)
+		q.handler.opts.Unread.Remove(q.unread)
 	}
 	if q.reserved != nil {
 		q.end.Reserved = q.reserved.Tokens()
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -43,7 +43,7 @@
 				continue
 			}
 			r.answer.Taken()
-			b.Close(r.answer)
+			b.Remove(r.answer)
 		}
 		reading = left
 		b.look(now)
