--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -14,7 +14,7 @@
 		control := http.NewResponseController(q.w)
 		q.unread = q.handler.opts.Unread.Add(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
 	}
-	q.unread.Pass(int64(len(q.body)+bytes+connectionBytes), time.Now())
+	q.unread.BeginWrite(int64(len(q.body)+bytes+connectionBytes), time.Now())
 	defer q.unread.Taken()
 	return write()
 }
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -69,8 +69,8 @@
 	delete(b.answers, a)
 }
 
-// Pass notes that the caller is passed a piece while so many bytes are held for it.
-func (a *Response) Pass(bytes int64, now time.Time) {
+// BeginWrite notes that the caller is passed a piece while so many bytes are held for it.
+func (a *Response) BeginWrite(bytes int64, now time.Time) {
 	a.mu.Lock()
 	a.since, a.bytes = now, bytes
 	a.mu.Unlock()
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -31,9 +31,9 @@
 	begin := time.Now()
 	for now := begin; now.Sub(begin) < 10*time.Minute; now = now.Add(lookEvery) {
 		for range each * int(lookEvery) / int(time.Second) {
-			b.Add(func() {}).Pass(answer, now) // stops for good
+			b.Add(func() {}).BeginWrite(answer, now) // stops for good
 			a := b.Add(func() { t.Error("a caller that reads was cut") })
-			a.Pass(answer, now)
+			a.BeginWrite(answer, now)
 			reading = append(reading, slow{a, now.Add(time.Duration(random.Int64N(int64(leastWait))))})
 		}
 		left := reading[:0]
@@ -64,7 +64,7 @@
 	now := time.Now()
 	pass := func(name string) *Response {
 		a := b.Add(func() { cut = append(cut, name) })
-		a.Pass(50, now)
+		a.BeginWrite(50, now)
 		return a
 	}
 	pass("first")
@@ -87,10 +87,10 @@
 	b := New(100, func() {})
 	now := time.Now()
 	a := b.Add(func() { t.Error("cut") })
-	a.Pass(50, now)
+	a.BeginWrite(50, now)
 	waits, _ := b.waits(now.Add(patience))
 	a.Taken()
-	a.Pass(50, now.Add(patience))
+	a.BeginWrite(50, now.Add(patience))
 	is.True(!waits[0].answer.cutIfWaiting(waits[0].since))
 }
 
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	b := New(100, func() {})
 	a := b.Add(func() {})
-	a.Pass(20, time.Now())
+	a.BeginWrite(20, time.Now())
 	is.True(b.Reserve(30))
 	is.True(!b.Reserve(1))
 	b.Unreserve(30)
@@ -116,7 +116,7 @@
 	cuts := 0
 	b := New(1000, func() { cuts++ })
 	now := time.Now()
-	b.Add(func() {}).Pass(100, now)
+	b.Add(func() {}).BeginWrite(100, now)
 	b.look(now.Add(patience - time.Second))
 	is.Equal(cuts, 0)
 	b.look(now.Add(patience))
