--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -15,7 +15,7 @@
 		q.unread = q.handler.opts.Unread.Add(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
 	}
 	q.unread.BeginWrite(int64(len(q.body)+bytes+connectionBytes), time.Now())
-	defer q.unread.Taken()
+	defer q.unread.EndWrite()
 	return write()
 }
 
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -77,8 +77,8 @@
 	a.book.held.Add(bytes)
 }
 
-// Taken notes that the caller took the piece, or is gone.
-func (a *Response) Taken() {
+// EndWrite notes that the caller took the piece, or is gone.
+func (a *Response) EndWrite() {
 	a.mu.Lock()
 	a.since = time.Time{}
 	a.mu.Unlock()
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -42,7 +42,7 @@
 				left = append(left, r)
 				continue
 			}
-			r.answer.Taken()
+			r.answer.EndWrite()
 			b.Remove(r.answer)
 		}
 		reading = left
@@ -70,7 +70,7 @@
 	pass("first")
 	now = now.Add(time.Second)
 	pass("second")
-	pass("third").Taken()
+	pass("third").EndWrite()
 	pass("fourth")
 	b.look(now)
 	is.Equal(cut, nil) // nobody has waited for long
@@ -89,7 +89,7 @@
 	a := b.Add(func() { t.Error("cut") })
 	a.BeginWrite(50, now)
 	waits, _ := b.waits(now.Add(patience))
-	a.Taken()
+	a.EndWrite()
 	a.BeginWrite(50, now.Add(patience))
 	is.True(!waits[0].answer.cutIfWaiting(waits[0].since))
 }
@@ -104,7 +104,7 @@
 	is.True(b.Reserve(30))
 	is.True(!b.Reserve(1))
 	b.Unreserve(30)
-	a.Taken()
+	a.EndWrite()
 	is.True(b.Reserve(50))
 	b.Unreserve(50)
 	is.Equal(b.Held(), int64(0))
