--- a/router/forward/whole.go
+++ b/router/forward/whole.go
@@ -61,7 +61,7 @@
 
 // freeRoom ends the reservation of room for a whole answer.
 func (q *request) freeRoom() {
-	q.handler.opts.Unread.Unreserve(q.room)
+	q.handler.opts.Unread.Release(q.room)
 	q.room = 0
 }
 
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -118,8 +118,8 @@
 	return false
 }
 
-// Unreserve ends a Reserve of so many bytes.
-func (b *Tracker) Unreserve(bytes int64) { b.held.Add(-bytes) }
+// Release ends a Reserve of so many bytes.
+func (b *Tracker) Release(bytes int64) { b.held.Add(-bytes) }
 
 // Run looks at who waits until ctx ends.
 func (b *Tracker) Run(ctx context.Context) {
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -103,10 +103,10 @@
 	a.BeginWrite(20, time.Now())
 	is.True(b.Reserve(30))
 	is.True(!b.Reserve(1))
-	b.Unreserve(30)
+	b.Release(30)
 	a.EndWrite()
 	is.True(b.Reserve(50))
-	b.Unreserve(50)
+	b.Release(50)
 	is.Equal(b.Held(), int64(0))
 }
 
