--- a/router/forward/stream.go
+++ b/router/forward/stream.go
@@ -29,7 +29,7 @@
 		q.stream = &stream{control: http.NewResponseController(q.w)}
 	}
 	s := q.stream
-	s.scanner.Restart()
+	s.scanner.DropPartial()
 	var pending []byte
 	buffer := make([]byte, streamBuffer)
 	for {
--- a/router/sse/sse.go
+++ b/router/sse/sse.go
@@ -81,8 +81,8 @@
 // Partial says whether an event has begun and not ended.
 func (s *Scanner) Partial() bool { return s.begun || len(s.line) > 0 }
 
-// Restart forgets the event under way, so that the stream may go on from elsewhere.
-func (s *Scanner) Restart() {
+// DropPartial forgets the event under way, so that the stream may go on from elsewhere.
+func (s *Scanner) DropPartial() {
 	s.line = s.line[:0]
 	s.begun, s.blank, s.skipLF = false, false, false
 	s.pending = ""
--- a/router/sse/sse_test.go
+++ b/router/sse/sse_test.go
@@ -64,7 +64,7 @@
 	var s Scanner
 	s.Scan([]byte("id: 1\n\nid: 2\nda"))
 	is.True(s.Partial())
-	s.Restart()
+	s.DropPartial()
 	is.True(!s.Partial())
 	is.Equal(s.LastID(), "1")
 	s.Scan([]byte("id: 2\ndata: x\n\n"))
