--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -64,11 +64,11 @@
 type recorder struct {
 	mu     sync.Mutex
 	ends   []End
-	tries  []Try
+	tries  []Attempt
 	breaks []Break
 }
 
-func (r *recorder) Tried(t Try) {
+func (r *recorder) Tried(t Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tries = append(r.tries, t)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -10,15 +10,15 @@
 // Observer is told of decisions and ends; it must not block.
 type Observer interface {
 	// Tried tells of one try at a target.
-	Tried(t Try)
+	Tried(t Attempt)
 	// Ended tells of a request's end.
 	Ended(e End)
 	// Broke tells of a try that broke off because its target ended.
 	Broke(b Break)
 }
 
-// Try is one try of a request at a target.
-type Try struct {
+// Attempt is one try of a request at a target.
+type Attempt struct {
 	RequestID string
 	Number    int
 	Target    string
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -54,7 +54,7 @@
 }
 
 // Tried logs a try that did not bring the answer.
-func (o *Observer) Tried(t forward.Try) {
+func (o *Observer) Tried(t forward.Attempt) {
 	o.set.GetOrCreateCounter(fmt.Sprintf("maststage_tries_total{result=%q}", t.Result)).Inc()
 	if t.Err == nil {
 		return
