--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -51,7 +51,7 @@
 
 // charged checks that what a request counts covers the events that were made and is far
 // from its worst case of 600 tokens: half of it, where a tenth of a second is due.
-func (b *bench) charged(end End, made int) {
+func (b *bench) charged(end Outcome, made int) {
 	b.t.Helper()
 	b.is.True(end.Used >= 100+5*int64(made))
 	b.is.True(end.Used < 400)
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -128,7 +128,7 @@
 	after    time.Duration  // when to come back, 0: as its kind says
 	unread   *unread.Response // nil until the caller was passed something
 	room     int64          // reserved for a whole answer, in bytes
-	end      End
+	end      Outcome
 }
 
 // ServeHTTP serves one request.
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -63,7 +63,7 @@
 // recorder keeps what the handler reports.
 type recorder struct {
 	mu     sync.Mutex
-	ends   []End
+	ends   []Outcome
 	tries  []Attempt
 	breaks []Break
 }
@@ -74,7 +74,7 @@
 	r.tries = append(r.tries, t)
 }
 
-func (r *recorder) Ended(e End) {
+func (r *recorder) Ended(e Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = append(r.ends, e)
@@ -87,7 +87,7 @@
 }
 
 // last waits for the end of the request.
-func (r *recorder) last(t *testing.T, id string) End {
+func (r *recorder) last(t *testing.T, id string) Outcome {
 	t.Helper()
 	for range 500 {
 		r.mu.Lock()
@@ -101,7 +101,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Fatalf("request %s did not end", id)
-	return End{}
+	return Outcome{}
 }
 
 // tellTries logs how the tries of a failed test went.
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -12,7 +12,7 @@
 	// Tried tells of one try at a target.
 	Tried(t Attempt)
 	// Ended tells of a request's end.
-	Ended(e End)
+	Ended(e Outcome)
 	// Broke tells of a try that broke off because its target ended.
 	Broke(b Break)
 }
@@ -41,8 +41,8 @@
 	Ran       time.Duration // since its first event, 0: none had come
 }
 
-// End is how a request ended.
-type End struct {
+// Outcome is how a request ended.
+type Outcome struct {
 	RequestID     string
 	Digest        quarantine.Digest // zero: its body was not read
 	Route         string
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -84,7 +84,7 @@
 }
 
 // Ended logs and counts a request.
-func (o *Observer) Ended(e forward.End) {
+func (o *Observer) Ended(e forward.Outcome) {
 	labels := fmt.Sprintf("organisation=%q,service=%q", e.Organisation, e.Service)
 	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Took.Seconds())
 	if e.First > 0 {
