--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -64,9 +64,9 @@
 }
 
 // brokeOff tells of a try that broke off just now.
-func (c *call) brokeOff(now time.Time) Break {
+func (c *call) brokeOff(now time.Time) TargetExit {
 	q := c.request
-	b := Break{
+	b := TargetExit{
 		RequestID: q.id, Digest: q.digest, Target: q.handler.opts.Targets.Incarnation(c.target).String(), Service: q.service,
 		Events: c.events, Took: now.Sub(c.started),
 	}
@@ -76,7 +76,7 @@
 	return b
 }
 
-func (q *request) reportOf(b Break) quarantine.Report {
+func (q *request) reportOf(b TargetExit) quarantine.Report {
 	r := quarantine.Report{
 		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Young: quarantine.Young(b.Ran),
 	}
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -65,7 +65,7 @@
 	mu     sync.Mutex
 	ends   []Outcome
 	tries  []Attempt
-	breaks []Break
+	breaks []TargetExit
 }
 
 func (r *recorder) Tried(t Attempt) {
@@ -80,7 +80,7 @@
 	r.ends = append(r.ends, e)
 }
 
-func (r *recorder) Broke(b Break) {
+func (r *recorder) Broke(b TargetExit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breaks = append(r.breaks, b)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -14,7 +14,7 @@
 	// Ended tells of a request's end.
 	Ended(e Outcome)
 	// Broke tells of a try that broke off because its target ended.
-	Broke(b Break)
+	Broke(b TargetExit)
 }
 
 // Attempt is one try of a request at a target.
@@ -30,8 +30,8 @@
 	Err       error
 }
 
-// Break is a try that broke off because its target ended.
-type Break struct {
+// TargetExit is a try that broke off because its target ended.
+type TargetExit struct {
 	RequestID string
 	Digest    quarantine.Digest
 	Target    string
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -71,7 +71,7 @@
 
 // Broke logs and counts a try that broke off because its target ended. Lines of the same
 // digest at several targets tell which request may have brought the ends about.
-func (o *Observer) Broke(b forward.Break) {
+func (o *Observer) Broke(b forward.TargetExit) {
 	o.Count(fmt.Sprintf("broken_by_ends_total{service=%q}", b.Service))
 	entry, ok := allow(o.failures)
 	if !ok {
