--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -41,7 +41,7 @@
 	if res == notSent && !q.handler.opts.Overload.Overloaded(time.Now()) {
 		targets.RecordDialFailure(t)
 	}
-	q.handler.opts.Observer.Tried(Attempt{
+	q.handler.opts.Observer.AttemptEnded(Attempt{
 		RequestID: q.id, Number: q.tries, Target: t.ID, Domain: t.Domain, Result: res.String(),
 		Status: c.status, Resumed: c.resumed, Took: time.Since(started), Err: err,
 	})
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -68,7 +68,7 @@
 	breaks []TargetExit
 }
 
-func (r *recorder) Tried(t Attempt) {
+func (r *recorder) AttemptEnded(t Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tries = append(r.tries, t)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -9,8 +9,8 @@
 
 // Observer is told of decisions and ends; it must not block.
 type Observer interface {
-	// Tried tells of one try at a target.
-	Tried(t Attempt)
+	// AttemptEnded tells of one try at a target.
+	AttemptEnded(t Attempt)
 	// Ended tells of a request's end.
 	Ended(e Outcome)
 	// Broke tells of a try that broke off because its target ended.
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -53,8 +53,8 @@
 	return entry, true
 }
 
-// Tried logs a try that did not bring the answer.
-func (o *Observer) Tried(t forward.Attempt) {
+// AttemptEnded logs a try that did not bring the answer.
+func (o *Observer) AttemptEnded(t forward.Attempt) {
 	o.set.GetOrCreateCounter(fmt.Sprintf("maststage_tries_total{result=%q}", t.Result)).Inc()
 	if t.Err == nil {
 		return
