--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -26,7 +26,7 @@
 	Result    string
 	Status    int
 	Resumed   string // the event behind which the stream went on
-	Took      time.Duration
+	Duration      time.Duration
 	Err       error
 }
 
