--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -68,7 +68,7 @@
 	q := c.request
 	b := TargetExit{
 		RequestID: q.id, Digest: q.digest, Target: q.handler.opts.Targets.Incarnation(c.target).String(), Service: q.service,
-		Events: c.events, Took: now.Sub(c.started),
+		Events: c.events, Duration: now.Sub(c.started),
 	}
 	if c.events > 0 {
 		b.Ran = now.Sub(c.first)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -37,7 +37,7 @@
 	Target    string
 	Service   string
 	Events    int           // that had come
-	Took      time.Duration // of the try
+	Duration      time.Duration // of the try
 	Ran       time.Duration // since its first event, 0: none had come
 }
 
