--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -49,7 +49,7 @@
 	}
 	b := c.brokeOff(time.Now())
 	look := make(chan bool, 1)
-	q.look, q.young = look, quarantine.Young(b.Ran)
+	q.look, q.young = look, quarantine.Young(b.SinceFirstEvent)
 	h, t, report := q.handler, c.target, q.reportOf(b)
 	guard.Go("target's end", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), endLook)
@@ -71,14 +71,14 @@
 		Events: c.events, Duration: now.Sub(c.started),
 	}
 	if c.events > 0 {
-		b.Ran = now.Sub(c.first)
+		b.SinceFirstEvent = now.Sub(c.first)
 	}
 	return b
 }
 
 func (q *request) reportOf(b TargetExit) quarantine.Report {
 	r := quarantine.Report{
-		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Young: quarantine.Young(b.Ran),
+		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Young: quarantine.Young(b.SinceFirstEvent),
 	}
 	if q.organisation != nil {
 		r.Organisation = q.organisation.Name
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -115,7 +115,7 @@
 		b.t.Logf("try %d at %s: %s after %v, behind %q: %v", try.Number, try.Target, try.Result, try.Duration, try.Resumed, try.Err)
 	}
 	for _, broke := range b.recorder.breaks {
-		b.t.Logf("end of %s seen, ran %v", broke.Target, broke.Ran)
+		b.t.Logf("end of %s seen, ran %v", broke.Target, broke.SinceFirstEvent)
 	}
 }
 
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -38,7 +38,7 @@
 	Service   string
 	Events    int           // that had come
 	Duration      time.Duration // of the try
-	Ran       time.Duration // since its first event, 0: none had come
+	SinceFirstEvent       time.Duration // since its first event, 0: none had come
 }
 
 // Outcome is how a request ended.
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -79,7 +79,7 @@
 	}
 	entry.WithFields(log.Fields{
 		"request": b.RequestID, "digest": b.Digest, "target": b.Target, "service": b.Service,
-		"events": b.Events, "took": b.Duration.Round(time.Millisecond), "ran": b.Ran.Round(time.Millisecond),
+		"events": b.Events, "took": b.Duration.Round(time.Millisecond), "ran": b.SinceFirstEvent.Round(time.Millisecond),
 	}).Info("broken by the target's end")
 }
 
