--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -43,7 +43,7 @@
 	}
 	q.handler.opts.Observer.AttemptEnded(Attempt{
 		RequestID: q.id, Number: q.tries, Target: t.ID, Domain: t.Domain, Result: res.String(),
-		Status: c.status, Resumed: c.resumed, Duration: time.Since(started), Err: err,
+		Status: c.status, ResumedAfter: c.resumed, Duration: time.Since(started), Err: err,
 	})
 	if c.ready != nil {
 		c.ready.pass(q)
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -112,7 +112,7 @@
 	b.recorder.mu.Lock()
 	defer b.recorder.mu.Unlock()
 	for _, try := range b.recorder.tries {
-		b.t.Logf("try %d at %s: %s after %v, behind %q: %v", try.Number, try.Target, try.Result, try.Duration, try.Resumed, try.Err)
+		b.t.Logf("try %d at %s: %s after %v, behind %q: %v", try.Number, try.Target, try.Result, try.Duration, try.ResumedAfter, try.Err)
 	}
 	for _, broke := range b.recorder.breaks {
 		b.t.Logf("end of %s seen, ran %v", broke.Target, broke.SinceFirstEvent)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -25,7 +25,7 @@
 	Domain    string
 	Result    string
 	Status    int
-	Resumed   string // the event behind which the stream went on
+	ResumedAfter   string // the event behind which the stream went on
 	Duration      time.Duration
 	Err       error
 }
