--- a/router/forward/answers_test.go
+++ b/router/forward/answers_test.go
@@ -290,7 +290,7 @@
 	req.Header.Set("X-Deadline", "200")
 	got := b.do(req)
 	b.is.Equal(got.status, 504)
-	b.is.True(b.recorder.last(t, "r1").Took < 590*time.Millisecond) // not the route's timeout
+	b.is.True(b.recorder.last(t, "r1").Duration < 590*time.Millisecond) // not the route's timeout
 }
 
 func TestDrainingHostClosesConnections(t *testing.T) {
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -170,7 +170,7 @@
 	e := &q.end
 	e.RequestID, e.Digest, e.Kind, e.Err = q.id, q.digest, kind, err
 	e.Service, e.Tries = q.service, q.tries
-	e.Took = time.Since(q.arrived)
+	e.Duration = time.Since(q.arrived)
 	if q.route != nil {
 		e.Route = q.route.Name
 	}
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -58,6 +58,6 @@
 	Used          int64
 	Budget        prepaid.Holding // as seen when the request was refused for it
 	First         time.Duration   // until the answer began
-	Took          time.Duration
+	Duration          time.Duration
 	Err           error
 }
--- a/router/forward/streams_test.go
+++ b/router/forward/streams_test.go
@@ -184,7 +184,7 @@
 	req.Header.Set("X-Deadline", "300")
 	got := b.do(req)
 	b.is.True(got.err != nil)
-	b.is.True(b.recorder.last(t, "r1").Took < 2*time.Second)
+	b.is.True(b.recorder.last(t, "r1").Duration < 2*time.Second)
 }
 
 const budgetConfig = `{"version":8,
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -86,7 +86,7 @@
 // Ended logs and counts a request.
 func (o *Observer) Ended(e forward.Outcome) {
 	labels := fmt.Sprintf("organisation=%q,service=%q", e.Organisation, e.Service)
-	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Took.Seconds())
+	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Duration.Seconds())
 	if e.First > 0 {
 		o.set.GetOrCreateHistogram("maststage_first_byte_seconds{" + labels + "}").Update(e.First.Seconds())
 	}
@@ -103,7 +103,7 @@
 		"request": e.RequestID, "route": e.Route, "organisation": e.Organisation, "service": e.Service,
 		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Tries, "target": e.Target,
 		"events": e.Events, "reserved": e.Reserved, "used": e.Used,
-		"first": e.First.Round(time.Millisecond), "took": e.Took.Round(time.Millisecond),
+		"first": e.First.Round(time.Millisecond), "took": e.Duration.Round(time.Millisecond),
 	}
 	if e.Kind != forward.OK && e.Digest != (quarantine.Digest{}) {
 		fields["digest"] = e.Digest
