--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -169,7 +169,7 @@
 func (q *request) report(kind Kind, err error) {
 	e := &q.end
 	e.RequestID, e.Digest, e.Kind, e.Err = q.id, q.digest, kind, err
-	e.Service, e.Tries = q.service, q.tries
+	e.Service, e.Attempts = q.service, q.tries
 	e.Duration = time.Since(q.arrived)
 	if q.route != nil {
 		e.Route = q.route.Name
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -51,7 +51,7 @@
 	ConfigVersion int64
 	Kind          Kind
 	Status        int
-	Tries         int
+	Attempts         int
 	Target        string // the last one
 	Events        int
 	Reserved      int64
--- a/router/forward/slowcaller_test.go
+++ b/router/forward/slowcaller_test.go
@@ -57,7 +57,7 @@
 	b.serve(c, b.request("POST", "/stream/x", "prompt"))
 	b.is.Equal(c.Body.String(), events("r1", 40))
 	b.is.Equal(b.runs(), 1)
-	b.is.Equal(b.recorder.last(t, "r1").Tries, 1)
+	b.is.Equal(b.recorder.last(t, "r1").Attempts, 1)
 }
 
 // A target that cuts a stream which nobody read for long is not held to have failed.
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -101,7 +101,7 @@
 	}
 	fields := log.Fields{
 		"request": e.RequestID, "route": e.Route, "organisation": e.Organisation, "service": e.Service,
-		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Tries, "target": e.Target,
+		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Attempts, "target": e.Target,
 		"events": e.Events, "reserved": e.Reserved, "used": e.Used,
 		"first": e.First.Round(time.Millisecond), "took": e.Duration.Round(time.Millisecond),
 	}
