--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -57,7 +57,7 @@
 	Reserved      int64
 	Used          int64
 	Budget        prepaid.Holding // as seen when the request was refused for it
-	First         time.Duration   // until the answer began
+	FirstByte         time.Duration   // until the answer began
 	Duration          time.Duration
 	Err           error
 }
--- a/router/forward/stream.go
+++ b/router/forward/stream.go
@@ -80,7 +80,7 @@
 	q.w.WriteHeader(resp.StatusCode)
 	q.stream.begun = true
 	q.end.Status = resp.StatusCode
-	q.end.First = time.Since(q.arrived)
+	q.end.FirstByte = time.Since(q.arrived)
 }
 
 // sendEvents passes whole events on at once.
--- a/router/forward/whole.go
+++ b/router/forward/whole.go
@@ -28,7 +28,7 @@
 // pass gives the answer to the caller.
 func (a *whole) pass(q *request) {
 	q.end.Status = a.resp.StatusCode
-	q.end.First = time.Since(q.arrived)
+	q.end.FirstByte = time.Since(q.arrived)
 	q.handler.copyHead(q.w, a.resp)
 	if a.resp.ContentLength < 0 {
 		// It came in chunks or without a length and is whole.
@@ -94,7 +94,7 @@
 func (c *call) passLong(ctx context.Context, resp *http.Response, begin []byte) (result, error) {
 	q := c.request
 	q.end.Status = resp.StatusCode
-	q.end.First = time.Since(q.arrived)
+	q.end.FirstByte = time.Since(q.arrived)
 	q.handler.copyHead(q.w, resp)
 	q.w.WriteHeader(resp.StatusCode)
 	c.silence.pause()
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -87,8 +87,8 @@
 func (o *Observer) Ended(e forward.Outcome) {
 	labels := fmt.Sprintf("organisation=%q,service=%q", e.Organisation, e.Service)
 	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Duration.Seconds())
-	if e.First > 0 {
-		o.set.GetOrCreateHistogram("maststage_first_byte_seconds{" + labels + "}").Update(e.First.Seconds())
+	if e.FirstByte > 0 {
+		o.set.GetOrCreateHistogram("maststage_first_byte_seconds{" + labels + "}").Update(e.FirstByte.Seconds())
 	}
 	o.set.GetOrCreateCounter(fmt.Sprintf("maststage_requests_total{%s,kind=%q}", labels, e.Kind)).Inc()
 	limiter := o.failures
@@ -103,7 +103,7 @@
 		"request": e.RequestID, "route": e.Route, "organisation": e.Organisation, "service": e.Service,
 		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Attempts, "target": e.Target,
 		"events": e.Events, "reserved": e.Reserved, "used": e.Used,
-		"first": e.First.Round(time.Millisecond), "took": e.Duration.Round(time.Millisecond),
+		"first": e.FirstByte.Round(time.Millisecond), "took": e.Duration.Round(time.Millisecond),
 	}
 	if e.Kind != forward.OK && e.Digest != (quarantine.Digest{}) {
 		fields["digest"] = e.Digest
