--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -53,9 +53,9 @@
 // from its worst case of 600 tokens: half of it, where a tenth of a second is due.
 func (b *bench) charged(end Outcome, made int) {
 	b.t.Helper()
-	b.is.True(end.Used >= 100+5*int64(made))
-	b.is.True(end.Used < 400)
-	b.is.Equal(b.free(), fundedTokens-end.Used)
+	b.is.True(end.TokensUsed >= 100+5*int64(made))
+	b.is.True(end.TokensUsed < 400)
+	b.is.Equal(b.free(), fundedTokens-end.TokensUsed)
 }
 
 // free is what is not reserved.
@@ -69,7 +69,7 @@
 	b.fund()
 	b.add("e1", "engine", backend.Behaviour{Events: 3})
 	b.is.Equal(b.do(b.ask("/stream/x")).status, 200)
-	b.is.Equal(b.recorder.last(t, "r1").Used, int64(115))
+	b.is.Equal(b.recorder.last(t, "r1").TokensUsed, int64(115))
 	b.is.Equal(b.free(), int64(fundedTokens-115))
 }
 
@@ -94,7 +94,7 @@
 			know(b)
 			b.add("e1", "engine", backend.Behaviour{Events: 100, BreakAfter: 90, Reset: true})
 			b.do(b.ask("/once/x"))
-			b.is.Equal(b.recorder.last(t, "r1").Used, int64(600))
+			b.is.Equal(b.recorder.last(t, "r1").TokensUsed, int64(600))
 		})
 	}
 }
@@ -107,7 +107,7 @@
 	}
 	b.add("e1", "engine", backend.Behaviour{Status: 500, Body: "no"})
 	b.do(b.ask("/once/x"))
-	b.is.Equal(b.recorder.last(t, "r1").Used, int64(0))
+	b.is.Equal(b.recorder.last(t, "r1").TokensUsed, int64(0))
 	b.is.Equal(b.free(), int64(fundedTokens))
 }
 
@@ -120,7 +120,7 @@
 	req := b.ask("/once/x")
 	req.Header.Set("X-Deadline", "1500")
 	b.do(req)
-	b.is.Equal(b.recorder.last(t, "r1").Used, int64(600))
+	b.is.Equal(b.recorder.last(t, "r1").TokensUsed, int64(600))
 }
 
 // A stream that goes on elsewhere is charged its prompt once, its events once, and what
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -154,8 +154,8 @@
 	}
 	if q.reserved != nil {
 		q.end.Reserved = q.reserved.Tokens()
-		q.end.Used = q.used()
-		q.reserved.Settle(q.end.Used)
+		q.end.TokensUsed = q.used()
+		q.reserved.Settle(q.end.TokensUsed)
 	}
 	if kind != OK && kind != CutOff && kind != CallerGone {
 		q.refuse(kind)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -55,7 +55,7 @@
 	Target        string // the last one
 	Events        int
 	Reserved      int64
-	Used          int64
+	TokensUsed          int64
 	Budget        prepaid.Holding // as seen when the request was refused for it
 	FirstByte         time.Duration   // until the answer began
 	Duration          time.Duration
