--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -153,7 +153,7 @@
 		q.handler.opts.Unread.Remove(q.unread)
 	}
 	if q.reserved != nil {
-		q.end.Reserved = q.reserved.Tokens()
+		q.end.TokensReserved = q.reserved.Tokens()
 		q.end.TokensUsed = q.used()
 		q.reserved.Settle(q.end.TokensUsed)
 	}
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -54,7 +54,7 @@
 	Attempts         int
 	Target        string // the last one
 	Events        int
-	Reserved      int64
+	TokensReserved      int64
 	TokensUsed          int64
 	Budget        prepaid.Holding // as seen when the request was refused for it
 	FirstByte         time.Duration   // until the answer began
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -102,7 +102,7 @@
 	fields := log.Fields{
 		"request": e.RequestID, "route": e.Route, "organisation": e.Organisation, "service": e.Service,
 		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Attempts, "target": e.Target,
-		"events": e.Events, "reserved": e.Reserved, "used": e.TokensUsed,
+		"events": e.Events, "reserved": e.TokensReserved, "used": e.TokensUsed,
 		"first": e.FirstByte.Round(time.Millisecond), "took": e.Duration.Round(time.Millisecond),
 	}
 	if e.Kind != forward.OK && e.Digest != (quarantine.Digest{}) {
