--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -53,8 +53,8 @@
 	Rollouts Rollouts
 	// Unread bounds what is held for callers that don't read.
 	Unread *unread.Tracker
-	// Leaving says that callers are to use other hosts: connections are to be closed.
-	Leaving func() bool
+	// CloseConnections says that callers are to use other hosts: connections are to be closed.
+	CloseConnections func() bool
 	// Takes says whether a request that arrived may begin: OK, or why not. It may wait a
 	// little for that.
 	Takes func(ctx context.Context, arrived time.Time, streaming bool) Kind
@@ -122,12 +122,12 @@
 	begun    bool   // a target may have begun to hand tokens out
 	unseen   int64  // tokens that targets may have made and that did not come
 	stream   *stream
-	look     <-chan bool    // tells whether the target of the newest broken try ended
-	young    bool           // that try had run for a moment at most
-	spared   int            // of tries, those that a target's end broke and that can't have caused it
-	after    time.Duration  // when to come back, 0: as its kind says
+	look     <-chan bool      // tells whether the target of the newest broken try ended
+	young    bool             // that try had run for a moment at most
+	spared   int              // of tries, those that a target's end broke and that can't have caused it
+	after    time.Duration    // when to come back, 0: as its kind says
 	unread   *unread.Response // nil until the caller was passed something
-	room     int64          // reserved for a whole answer, in bytes
+	room     int64            // reserved for a whole answer, in bytes
 	end      Outcome
 }
 
@@ -135,7 +135,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.open.Add(1)
 	defer h.open.Add(-1)
-	if h.opts.Leaving() {
+	if h.opts.CloseConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	q := &request{handler: h, w: w, r: r, ctx: r.Context(), arrived: time.Now(), lostBefore: h.lost(), excluded: map[string]bool{}}
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -173,8 +173,8 @@
 	b.handler = New(Options{
 		Quarantine: b.guard, Unread: b.unread,
 		Names: testHeaders, Targets: b.targets, Budgets: b.budgets, Observer: b.recorder, Meter: b.meter, Overload: b.overload,
-		Retries: retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
-		Leaving: func() bool { return b.draining.Load() || b.overload.IsUnready(time.Now()) }, Takes: b.mayBegin,
+		Retries:          retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
+		CloseConnections: func() bool { return b.draining.Load() || b.overload.IsUnready(time.Now()) }, Takes: b.mayBegin,
 	})
 	b.configure(testConfig)
 	b.server = httptest.NewServer(b.handler)
--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -32,7 +32,7 @@
 // Clocks are the clocks that are compared.
 type Clocks struct {
 	Monotonic func() time.Duration // does not count a suspension
-	Boot   func() time.Duration // counts it
+	Boot      func() time.Duration // counts it
 }
 
 // SystemClocks gives the system's clocks.
