--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -55,9 +55,9 @@
 	Unread *unread.Tracker
 	// CloseConnections says that callers are to use other hosts: connections are to be closed.
 	CloseConnections func() bool
-	// Takes says whether a request that arrived may begin: OK, or why not. It may wait a
+	// Admit says whether a request that arrived may begin: OK, or why not. It may wait a
 	// little for that.
-	Takes func(ctx context.Context, arrived time.Time, streaming bool) Kind
+	Admit func(ctx context.Context, arrived time.Time, streaming bool) Kind
 	// Lost is how long the host was suspended in all; nil: never.
 	Lost func() time.Duration
 }
