--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -58,8 +58,8 @@
 	// Admit says whether a request that arrived may begin: OK, or why not. It may wait a
 	// little for that.
 	Admit func(ctx context.Context, arrived time.Time, streaming bool) Kind
-	// Lost is how long the host was suspended in all; nil: never.
-	Lost func() time.Duration
+	// Suspended is how long the host was suspended in all; nil: never.
+	Suspended func() time.Duration
 }
 
 // Handler serves callers.
@@ -212,10 +212,10 @@
 // lost is how long the host was suspended in all: callers went on waiting meanwhile, though the
 // clock stood.
 func (h *Handler) lost() time.Duration {
-	if h.opts.Lost == nil {
+	if h.opts.Suspended == nil {
 		return 0
 	}
-	return h.opts.Lost()
+	return h.opts.Suspended()
 }
 
 // lastEventID is the event behind which the stream is to go on.
