--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -180,7 +180,7 @@
 	if q.config != nil {
 		e.ConfigVersion = q.config.Version
 	}
-	q.handler.opts.Observer.Ended(*e)
+	q.handler.opts.Observer.RequestEnded(*e)
 }
 
 // refuse gives the final answer of a kind.
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -74,7 +74,7 @@
 	r.tries = append(r.tries, t)
 }
 
-func (r *recorder) Ended(e Outcome) {
+func (r *recorder) RequestEnded(e Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = append(r.ends, e)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -11,8 +11,8 @@
 type Observer interface {
 	// AttemptEnded tells of one try at a target.
 	AttemptEnded(t Attempt)
-	// Ended tells of a request's end.
-	Ended(e Outcome)
+	// RequestEnded tells of a request's end.
+	RequestEnded(e Outcome)
 	// Broke tells of a try that broke off because its target ended.
 	Broke(b TargetExit)
 }
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -83,8 +83,8 @@
 	}).Info("broken by the target's end")
 }
 
-// Ended logs and counts a request.
-func (o *Observer) Ended(e forward.Outcome) {
+// RequestEnded logs and counts a request.
+func (o *Observer) RequestEnded(e forward.Outcome) {
 	labels := fmt.Sprintf("organisation=%q,service=%q", e.Organisation, e.Service)
 	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Duration.Seconds())
 	if e.FirstByte > 0 {
