--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -57,7 +57,7 @@
 		ended := h.opts.Targets.ProbeExited(ctx, t)
 		if ended {
 			h.opts.Quarantine.Broke(report)
-			h.opts.Observer.Broke(b)
+			h.opts.Observer.TargetExited(b)
 		}
 		look <- ended
 	})
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -80,7 +80,7 @@
 	r.ends = append(r.ends, e)
 }
 
-func (r *recorder) Broke(b TargetExit) {
+func (r *recorder) TargetExited(b TargetExit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breaks = append(r.breaks, b)
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -13,8 +13,8 @@
 	AttemptEnded(t Attempt)
 	// RequestEnded tells of a request's end.
 	RequestEnded(e Outcome)
-	// Broke tells of a try that broke off because its target ended.
-	Broke(b TargetExit)
+	// TargetExited tells of a try that broke off because its target ended.
+	TargetExited(b TargetExit)
 }
 
 // Attempt is one try of a request at a target.
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -69,9 +69,9 @@
 	}).WithError(t.Err).Info("try failed")
 }
 
-// Broke logs and counts a try that broke off because its target ended. Lines of the same
+// TargetExited logs and counts a try that broke off because its target ended. Lines of the same
 // digest at several targets tell which request may have brought the ends about.
-func (o *Observer) Broke(b forward.TargetExit) {
+func (o *Observer) TargetExited(b forward.TargetExit) {
 	o.Count(fmt.Sprintf("broken_by_ends_total{service=%q}", b.Service))
 	entry, ok := allow(o.failures)
 	if !ok {
