--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -88,8 +88,8 @@
 // Config is the configuration in force, nil if there is none.
 func (h *Handler) Config() *routing.Config { return h.config.Load() }
 
-// Open counts the requests under way.
-func (h *Handler) Open() int64 { return h.open.Load() }
+// InFlight counts the requests under way.
+func (h *Handler) InFlight() int64 { return h.open.Load() }
 
 // request is the state of one request.
 type request struct {
--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -12,7 +12,7 @@
 func (n *Node) gauges() {
 	n.observer.Holdings(n.treasury.Holdings)
 	n.observer.Limits(n.targets.Limits)
-	n.observer.Gauge("open_requests", func() float64 { return float64(n.handler.Open()) })
+	n.observer.Gauge("open_requests", func() float64 { return float64(n.handler.InFlight()) })
 	n.observer.Gauge("unread_bytes", func() float64 { return float64(n.unread.Held()) })
 	n.observer.Gauge("hosts", func() float64 { return float64(n.fleet.Size()) })
 	n.observer.Gauge("targets_ready", func() float64 { return float64(n.targets.TotalReady()) })
--- a/router/node/stop.go
+++ b/router/node/stop.go
@@ -73,7 +73,7 @@
 	n.stopOnce.Do(func() {
 		now := time.Now()
 		n.stopBegan.Store(&now)
-		log.WithFields(log.Fields{"open": n.handler.Open()}).Info("planned stop begins")
+		log.WithFields(log.Fields{"open": n.handler.InFlight()}).Info("planned stop begins")
 		close(n.stopping)
 	})
 }
@@ -86,11 +86,11 @@
 	quietSince := started
 	for time.Now().Before(last) && ctx.Err() == nil {
 		now := time.Now()
-		if n.handler.Open() > 0 {
+		if n.handler.InFlight() > 0 {
 			quietSince = now
 		}
 		noticed := now.Sub(started) > n.stopPart(noticeTime) && now.Sub(quietSince) > quietBefore
-		refusing := !n.Takes(false) && n.handler.Open() == 0
+		refusing := !n.Takes(false) && n.handler.InFlight() == 0
 		if noticed || refusing {
 			break
 		}
@@ -98,7 +98,7 @@
 	}
 	n.giveBack(ctx)
 	n.finish(last)
-	log.WithFields(log.Fields{"open": n.handler.Open(), "took": time.Since(started).Round(time.Millisecond)}).Info("planned stop done")
+	log.WithFields(log.Fields{"open": n.handler.InFlight(), "took": time.Since(started).Round(time.Millisecond)}).Info("planned stop done")
 }
 
 // giveBack returns free tokens, to the log or, while that is out of reach, to
--- a/router/node/stop_test.go
+++ b/router/node/stop_test.go
@@ -24,7 +24,7 @@
 		go func() { replies <- f.call(h, "/e/x", "k") }()
 		go func() { replies <- f.call(h, "/r/x", "k") }()
 	}
-	f.eventually("all are under way", func() bool { return h.handler.Open() == 20 })
+	f.eventually("all are under way", func() bool { return h.handler.InFlight() == 20 })
 	h.Stop()
 	f.is.True(!h.Ready())
 	f.is.Equal(f.call(h, "/r/x", "k").status, 200) // what still comes is served
--- a/router/node/suspend.go
+++ b/router/node/suspend.go
@@ -33,7 +33,7 @@
 func (n *Node) resumed(lost time.Duration) {
 	w := &wake{at: time.Now()}
 	n.woke.Store(w)
-	log.WithFields(log.Fields{"lost": lost.Round(time.Millisecond), "open_requests": n.handler.Open()}).Warn("host was suspended")
+	log.WithFields(log.Fields{"lost": lost.Round(time.Millisecond), "open_requests": n.handler.InFlight()}).Warn("host was suspended")
 	n.observer.Count("suspensions_total")
 	n.targets.CloseIdle()
 	n.fleet.Resumed()
