--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -82,8 +82,8 @@
 	return &Handler{opts: opts, names: names, own: names.own(), kept: names.kept(), waits: newWaits()}
 }
 
-// Configure puts a configuration in force.
-func (h *Handler) Configure(c *routing.Config) { h.config.Store(c) }
+// SetConfig puts a configuration in force.
+func (h *Handler) SetConfig(c *routing.Config) { h.config.Store(c) }
 
 // Config is the configuration in force, nil if there is none.
 func (h *Handler) Config() *routing.Config { return h.config.Load() }
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -194,7 +194,7 @@
 	b.t.Helper()
 	config, err := routing.Parse([]byte(text))
 	b.is.NoErr(err)
-	b.handler.Configure(config)
+	b.handler.SetConfig(config)
 }
 
 // add starts a backend of a service and lists it.
--- a/router/node/config.go
+++ b/router/node/config.go
@@ -167,7 +167,7 @@
 	}
 	n.fleet.SetBudgetShares(parts(budgets(config)))
 	n.setCold(config, n.newestSettings().Bounds)
-	n.handler.Configure(config)
+	n.handler.SetConfig(config)
 	n.shareConnections()
 	fields := log.Fields{
 		"version": config.Version, "routes": len(config.Routes), "organisations": len(config.Organisations),
