--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -138,5 +138,5 @@
 	}
 }
 
-// Hold takes back the tries of a request that came into quarantine.
-func (h *Handler) Hold(d quarantine.Digest) { h.waits.abort(d) }
+// AbortWaiting takes back the tries of a request that came into quarantine.
+func (h *Handler) AbortWaiting(d quarantine.Digest) { h.waits.abort(d) }
--- a/router/node/quarantine.go
+++ b/router/node/quarantine.go
@@ -18,7 +18,7 @@
 	n.guard = quarantine.New(quarantine.Options{
 		Host:   n.cfg.Host.Name,
 		Write:  n.writeHosts,
-		OnHold: func(d quarantine.Digest) { n.handler.Hold(d) },
+		OnHold: func(d quarantine.Digest) { n.handler.AbortWaiting(d) },
 		Count:  func(name string) { n.observer.Count(name) },
 		Go:     guard.Go,
 	})
