--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -12,7 +12,7 @@
 func (q *request) passPiece(bytes int, write func() error) error {
 	if q.unread == nil {
 		control := http.NewResponseController(q.w)
-		q.unread = q.handler.opts.Unread.Add(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
+		q.unread = q.handler.opts.Unread.Track(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
 	}
 	q.unread.BeginWrite(int64(len(q.body)+bytes+connectionBytes), time.Now())
 	defer q.unread.EndWrite()
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -53,8 +53,8 @@
 	return &Tracker{most: most, onCut: onCut, answers: map[*Response]struct{}{}}
 }
 
-// Add notes an answer; cut ends it and must not block.
-func (b *Tracker) Add(cut func()) *Response {
+// Track notes an answer; cut ends it and must not block.
+func (b *Tracker) Track(cut func()) *Response {
 	a := &Response{book: b, cut: cut}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -31,8 +31,8 @@
 	begin := time.Now()
 	for now := begin; now.Sub(begin) < 10*time.Minute; now = now.Add(lookEvery) {
 		for range each * int(lookEvery) / int(time.Second) {
-			b.Add(func() {}).BeginWrite(answer, now) // stops for good
-			a := b.Add(func() { t.Error("a caller that reads was cut") })
+			b.Track(func() {}).BeginWrite(answer, now) // stops for good
+			a := b.Track(func() { t.Error("a caller that reads was cut") })
 			a.BeginWrite(answer, now)
 			reading = append(reading, slow{a, now.Add(time.Duration(random.Int64N(int64(leastWait))))})
 		}
@@ -63,7 +63,7 @@
 	b := New(100, func() {})
 	now := time.Now()
 	pass := func(name string) *Response {
-		a := b.Add(func() { cut = append(cut, name) })
+		a := b.Track(func() { cut = append(cut, name) })
 		a.BeginWrite(50, now)
 		return a
 	}
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	b := New(100, func() {})
 	now := time.Now()
-	a := b.Add(func() { t.Error("cut") })
+	a := b.Track(func() { t.Error("cut") })
 	a.BeginWrite(50, now)
 	waits, _ := b.waits(now.Add(patience))
 	a.EndWrite()
@@ -99,7 +99,7 @@
 func TestReserve(t *testing.T) {
 	is := is.New(t)
 	b := New(100, func() {})
-	a := b.Add(func() {})
+	a := b.Track(func() {})
 	a.BeginWrite(20, time.Now())
 	is.True(b.Reserve(30))
 	is.True(!b.Reserve(1))
@@ -116,7 +116,7 @@
 	cuts := 0
 	b := New(1000, func() { cuts++ })
 	now := time.Now()
-	b.Add(func() {}).BeginWrite(100, now)
+	b.Track(func() {}).BeginWrite(100, now)
 	b.look(now.Add(patience - time.Second))
 	is.Equal(cuts, 0)
 	b.look(now.Add(patience))
