--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -150,7 +150,7 @@
 	}
 	q.freeRoom()
 	if q.unread != nil {
-		q.handler.opts.Unread.Remove(q.unread)
+		q.handler.opts.Unread.Untrack(q.unread)
 	}
 	if q.reserved != nil {
 		q.end.TokensReserved = q.reserved.Tokens()
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -62,8 +62,8 @@
 	return a
 }
 
-// Remove forgets an answer.
-func (b *Tracker) Remove(a *Response) {
+// Untrack forgets an answer.
+func (b *Tracker) Untrack(a *Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.answers, a)
@@ -158,7 +158,7 @@
 		log.WithFields(log.Fields{
 			"bytes": w.bytes, "waited": w.waited.Round(time.Millisecond), "held": held, "waiting": len(waits),
 		}).Warn("caller cut that does not read its answer")
-		b.Remove(w.answer)
+		b.Untrack(w.answer)
 		b.onCut()
 	}
 }
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -43,7 +43,7 @@
 				continue
 			}
 			r.answer.EndWrite()
-			b.Remove(r.answer)
+			b.Untrack(r.answer)
 		}
 		reading = left
 		b.look(now)
