--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -29,7 +29,7 @@
 	if kind := q.authenticate(); kind != OK {
 		return kind, nil
 	}
-	if kind := h.opts.Admit(q.ctx, q.arrived, q.route.Kind == routing.Streaming); kind != OK {
+	if kind := h.opts.MayBegin(q.ctx, q.arrived, q.route.Kind == routing.Streaming); kind != OK {
 		return kind, nil
 	}
 	if !h.opts.Overload.Admit(q.arrived) {
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -55,9 +55,9 @@
 	Unread *unread.Tracker
 	// CloseConnections says that callers are to use other hosts: connections are to be closed.
 	CloseConnections func() bool
-	// Admit says whether a request that arrived may begin: OK, or why not. It may wait a
+	// MayBegin says whether a request that arrived may begin: OK, or why not. It may wait a
 	// little for that.
-	Admit func(ctx context.Context, arrived time.Time, streaming bool) Kind
+	MayBegin func(ctx context.Context, arrived time.Time, streaming bool) Kind
 	// Suspended is how long the host was suspended in all; nil: never.
 	Suspended func() time.Duration
 }
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -174,7 +174,7 @@
 		Quarantine: b.guard, Unread: b.unread,
 		Names: testHeaders, Targets: b.targets, Budgets: b.budgets, Observer: b.recorder, Meter: b.meter, Overload: b.overload,
 		Retries:          retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
-		CloseConnections: func() bool { return b.draining.Load() || b.overload.IsUnready(time.Now()) }, Admit: b.mayBegin,
+		CloseConnections: func() bool { return b.draining.Load() || b.overload.IsUnready(time.Now()) }, MayBegin: b.mayBegin,
 	})
 	b.configure(testConfig)
 	b.server = httptest.NewServer(b.handler)
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -141,7 +141,7 @@
 	n.handler = forward.New(forward.Options{
 		Names: outside.Headers, Targets: n.targets, Budgets: n.treasury, Retries: n.retries,
 		Meter: streampace.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
-		Observer: n.observer, CloseConnections: n.leaving, Admit: n.admits, Suspended: n.lost, Rollouts: n.rollouts,
+		Observer: n.observer, CloseConnections: n.leaving, MayBegin: n.admits, Suspended: n.lost, Rollouts: n.rollouts,
 	})
 	n.watch = suspend.New(clocks, n.resumed)
 	n.gauges()
