--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -59,7 +59,7 @@
 	reused  bool           // it had carried answers before
 	started time.Time
 	work    float64 // counted at the target until it answers
-	ask     rollout.Ask
+	ask     rollout.Request
 	begins  time.Duration // until the answer began, 0: it did not
 	first   time.Time     // when the first event came
 	last    time.Time     // when the newest event came
--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -10,23 +10,23 @@
 // Rollouts keeps the versions of targets that requests may use.
 type Rollouts interface {
 	// Rule gives the versions that a request may use.
-	Rule(a rollout.Ask) rollout.Rule
+	Rule(a rollout.Request) rollout.Rule
 	// Sent notes that a target of a version may have got a request.
-	Sent(a rollout.Ask, version string)
+	Sent(a rollout.Request, version string)
 	// Ended notes how the request fared there.
-	Ended(a rollout.Ask, version string, answer rollout.Answer)
+	Ended(a rollout.Request, version string, answer rollout.Answer)
 }
 
 // anyVersion allows all versions.
 type anyVersion struct{}
 
-func (anyVersion) Rule(rollout.Ask) rollout.Rule             { return rollout.Rule{} }
-func (anyVersion) Sent(rollout.Ask, string)                  {}
-func (anyVersion) Ended(rollout.Ask, string, rollout.Answer) {}
+func (anyVersion) Rule(rollout.Request) rollout.Rule             { return rollout.Rule{} }
+func (anyVersion) Sent(rollout.Request, string)                  {}
+func (anyVersion) Ended(rollout.Request, string, rollout.Answer) {}
 
 // ask is what the request is to a rollout; first says that no target was tried before.
-func (q *request) ask(first bool) rollout.Ask {
-	return rollout.Ask{Service: q.service, Single: !q.route.Repeatable(), First: first}
+func (q *request) ask(first bool) rollout.Request {
+	return rollout.Request{Service: q.service, Single: !q.route.Repeatable(), First: first}
 }
 
 // leastEvents is how many events of a stream tell its pace.
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -66,7 +66,7 @@
 }
 
 // Rule implements forward.Rollouts.
-func (r *rollouts) Rule(a rollout.Ask) rollout.Rule {
+func (r *rollouts) Rule(a rollout.Request) rollout.Rule {
 	now := time.Now()
 	rule := r.gate.Rule(a, now)
 	if rule.Only != "" || !r.gate.Undecided(a.Service) {
@@ -91,10 +91,10 @@
 }
 
 // Sent implements forward.Rollouts.
-func (r *rollouts) Sent(a rollout.Ask, version string) { r.gate.Sent(a, version) }
+func (r *rollouts) Sent(a rollout.Request, version string) { r.gate.Sent(a, version) }
 
 // Ended implements forward.Rollouts.
-func (r *rollouts) Ended(a rollout.Ask, version string, answer rollout.Answer) {
+func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Answer) {
 	r.gate.Ended(a, version, answer)
 	if !answer.Void && r.gate.Undecided(a.Service) {
 		r.node.observer.Count(fmt.Sprintf("version_answers_total{service=%q,version=%q,failed=\"%t\"}", a.Service, version, answer.Failed))
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -23,8 +23,8 @@
 	return !slices.Contains(r.Barred, version)
 }
 
-// Ask is a request that looks for a target.
-type Ask struct {
+// Request is a request that looks for a target.
+type Request struct {
 	Service string
 	Single  bool // it may not be sent again
 	First   bool // it was sent to no target before
@@ -169,7 +169,7 @@
 }
 
 // Rule gives the versions that a request may use.
-func (g *Gate) Rule(a Ask, now time.Time) Rule {
+func (g *Gate) Rule(a Request, now time.Time) Rule {
 	waiting := g.waiting(a.Service)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -192,7 +192,7 @@
 
 // share is the part of the requests like this one that goes to the version on trial. Without
 // fresh advice it is none: nobody may know what this host's answers tell.
-func (s *service) share(a Ask, now time.Time) float64 {
+func (s *service) share(a Request, now time.Time) float64 {
 	age := now.Sub(s.told)
 	if s.told.IsZero() || age > time.Duration(staleIntervals*float64(s.interval)) {
 		return 0
@@ -241,7 +241,7 @@
 }
 
 // Sent counts a request that was sent to a target of a version.
-func (g *Gate) Sent(a Ask, version string) {
+func (g *Gate) Sent(a Request, version string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.watched(a.Service)
@@ -263,7 +263,7 @@
 }
 
 // Ended counts the end of a request that Sent counted, and what its answer tells.
-func (g *Gate) Ended(a Ask, version string, answer Answer) {
+func (g *Gate) Ended(a Request, version string, answer Answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.watched(a.Service)
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -15,7 +15,7 @@
 	return g
 }
 
-var first = Ask{Service: "s", First: true}
+var first = Request{Service: "s", First: true}
 
 // With no order known, all versions are used, but one that shows up later waits until this host
 // knows the orders of then.
@@ -58,7 +58,7 @@
 	is.True(!g.Rule(first, day).Allows("v2")) // no advice
 	g.Told("s", "v2", Advice{Able: true, Phase: Trial, Share: 0.1}, 6, day)
 	is.Equal(g.Rule(first, day).Only, "v2")
-	is.True(!g.Rule(Ask{Service: "s"}, day).Allows("v2")) // a repeat goes to the old version
+	is.True(!g.Rule(Request{Service: "s"}, day).Allows("v2")) // a repeat goes to the old version
 	g.draw = func() float64 { return 0.5 }
 	is.True(!g.Rule(first, day).Allows("v2")) // not drawn
 	g.draw = func() float64 { return 0 }
@@ -75,7 +75,7 @@
 	g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
 	g.Told("s", "v2", Advice{Able: true, Phase: Moving, Share: 0.1, MovingMs: 700}, 6, day)
-	single := Ask{Service: "s", First: true, Single: true}
+	single := Request{Service: "s", First: true, Single: true}
 	is.Equal(g.Rule(single, day).Only, "v2")
 	is.Equal(g.Rule(first, day).Only, "")
 	is.Equal(g.Rule(single, day.Add(800*time.Millisecond)).Only, "")
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -45,7 +45,7 @@
 	at     time.Time
 	host   int
 	target *simTarget
-	ask    Ask
+	ask    Request
 	answer Answer
 }
 
@@ -125,7 +125,7 @@
 // request sends one request; half are on a route whose requests may not be sent again.
 func (s *simFleet) request() {
 	host, route := s.rng.IntN(len(s.gates)), s.rng.IntN(4)
-	ask := Ask{Service: "s", Single: route%2 == 0, First: true}
+	ask := Request{Service: "s", Single: route%2 == 0, First: true}
 	rule := s.gates[host].Rule(ask, s.now)
 	t := s.choose(rule)
 	if t == nil {
@@ -164,7 +164,7 @@
 	return usable[s.rng.IntN(len(usable))]
 }
 
-func (s *simFleet) answerOf(host, route int, t *simTarget, ask Ask) simEnd {
+func (s *simFleet) answerOf(host, route int, t *simTarget, ask Request) simEnd {
 	took := time.Duration(60 * float64(time.Millisecond) * math.Exp(0.5*s.rng.NormFloat64()))
 	failed := s.rng.Float64() < []float64{0.004, 0.14, 0.01, 0.01}[route]
 	if s.model.strike != nil && s.model.strike(s, t) {
