--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -25,9 +25,9 @@
 
 // Request is a request that looks for a target.
 type Request struct {
-	Service string
-	Single  bool // it may not be sent again
-	First   bool // it was sent to no target before
+	Service      string
+	NotRetryable bool // it may not be sent again
+	First        bool // it was sent to no target before
 }
 
 // Gate is one host's part in the rollouts: which versions its requests may use, and what their
@@ -199,7 +199,7 @@
 	}
 	switch s.advice.Phase {
 	case Moving:
-		if a.Single && age < time.Duration(s.advice.MovingMs)*time.Millisecond {
+		if a.NotRetryable && age < time.Duration(s.advice.MovingMs)*time.Millisecond {
 			return 1
 		}
 		return s.advice.Share
@@ -254,10 +254,10 @@
 	switch {
 	case version == s.order.Version:
 		s.report.Trial++
-	case a.Single:
+	case a.NotRetryable:
 		s.report.Open++
 	}
-	if a.Single && a.First {
+	if a.NotRetryable && a.First {
 		s.report.Single++
 	}
 }
@@ -271,7 +271,7 @@
 		return
 	}
 	answer.New = version == s.order.Version
-	if a.Single && !answer.New && !answer.Unsent {
+	if a.NotRetryable && !answer.New && !answer.Unsent {
 		s.report.Open = max(s.report.Open-1, 0)
 	}
 	if answer.Void {
