--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -26,7 +26,7 @@
 
 // ask is what the request is to a rollout; first says that no target was tried before.
 func (q *request) ask(first bool) rollout.Request {
-	return rollout.Request{Service: q.service, NotRetryable: !q.route.Repeatable(), First: first}
+	return rollout.Request{Service: q.service, NotRetryable: !q.route.Repeatable(), FirstAttempt: first}
 }
 
 // leastEvents is how many events of a stream tell its pace.
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -27,7 +27,7 @@
 type Request struct {
 	Service      string
 	NotRetryable bool // it may not be sent again
-	First        bool // it was sent to no target before
+	FirstAttempt bool // it was sent to no target before
 }
 
 // Gate is one host's part in the rollouts: which versions its requests may use, and what their
@@ -178,7 +178,7 @@
 		return Rule{}
 	}
 	st := s.standing
-	if st.trial != "" && a.First {
+	if st.trial != "" && a.FirstAttempt {
 		if share := s.share(a, now); share > 0 && g.draw() < share {
 			return Rule{Only: st.trial, Share: share}
 		}
@@ -248,7 +248,7 @@
 	if s == nil {
 		return
 	}
-	if a.First {
+	if a.FirstAttempt {
 		s.report.Sent++
 	}
 	switch {
@@ -257,7 +257,7 @@
 	case a.NotRetryable:
 		s.report.Open++
 	}
-	if a.NotRetryable && a.First {
+	if a.NotRetryable && a.FirstAttempt {
 		s.report.Single++
 	}
 }
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -15,7 +15,7 @@
 	return g
 }
 
-var first = Request{Service: "s", First: true}
+var first = Request{Service: "s", FirstAttempt: true}
 
 // With no order known, all versions are used, but one that shows up later waits until this host
 // knows the orders of then.
@@ -75,7 +75,7 @@
 	g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
 	g.Told("s", "v2", Advice{Able: true, Phase: Moving, Share: 0.1, MovingMs: 700}, 6, day)
-	single := Request{Service: "s", First: true, NotRetryable: true}
+	single := Request{Service: "s", FirstAttempt: true, NotRetryable: true}
 	is.Equal(g.Rule(single, day).Only, "v2")
 	is.Equal(g.Rule(first, day).Only, "")
 	is.Equal(g.Rule(single, day.Add(800*time.Millisecond)).Only, "")
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -125,7 +125,7 @@
 // request sends one request; half are on a route whose requests may not be sent again.
 func (s *simFleet) request() {
 	host, route := s.rng.IntN(len(s.gates)), s.rng.IntN(4)
-	ask := Request{Service: "s", NotRetryable: route%2 == 0, First: true}
+	ask := Request{Service: "s", NotRetryable: route%2 == 0, FirstAttempt: true}
 	rule := s.gates[host].Rule(ask, s.now)
 	t := s.choose(rule)
 	if t == nil {
