--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -51,7 +51,7 @@
 	if cold {
 		return a
 	}
-	a.First = c.begins
+	a.FirstByte = c.begins
 	if c.events >= leastEvents {
 		a.Pace = (c.last.Sub(c.first) - c.unread) / time.Duration(c.events-1)
 	}
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	a := Answer{Route: fmt.Sprint("r", route), Domain: t.domain, Target: t.id, Failed: failed, First: took}
+	a := Answer{Route: fmt.Sprint("r", route), Domain: t.domain, Target: t.id, Failed: failed, FirstByte: took}
 	return simEnd{at: s.now.Add(took), host: host, target: t, ask: ask, answer: a}
 }
 
