--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -53,7 +53,7 @@
 	}
 	a.FirstByte = c.begins
 	if c.events >= leastEvents {
-		a.Pace = (c.last.Sub(c.first) - c.unread) / time.Duration(c.events-1)
+		a.EventInterval = (c.last.Sub(c.first) - c.unread) / time.Duration(c.events-1)
 	}
 	return a
 }
--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -7,15 +7,15 @@
 
 // Answer is how a request fared at a target, as far as it tells of the target's version.
 type Answer struct {
-	Route     string
-	Domain    string // failure domain of the target
-	Target    string
-	New       bool          // the target has the version on trial
-	Failed    bool          // no answer, an incomplete one, or a failure of the target's own
-	FirstByte time.Duration // until the answer began; 0: it did not
-	Pace      time.Duration // between two events of a stream; 0: not known
-	Void      bool          // it tells nothing: its caller left, or the target said that it was full
-	Unsent    bool          // the target can't have got the request
+	Route         string
+	Domain        string // failure domain of the target
+	Target        string
+	New           bool          // the target has the version on trial
+	Failed        bool          // no answer, an incomplete one, or a failure of the target's own
+	FirstByte     time.Duration // until the answer began; 0: it did not
+	EventInterval time.Duration // between two events of a stream; 0: not known
+	Void          bool          // it tells nothing: its caller left, or the target said that it was full
+	Unsent        bool          // the target can't have got the request
 }
 
 // cell is what answers are counted by. Those of old targets are counted by failure domain: a
@@ -109,7 +109,7 @@
 		c.Failed++
 	}
 	c.First = c.First.note(a.FirstByte)
-	c.Pace = c.Pace.note(a.Pace)
+	c.Pace = c.Pace.note(a.EventInterval)
 }
 
 // plus adds a multiple of other counts.
