--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -10,7 +10,7 @@
 	Route         string
 	Domain        string // failure domain of the target
 	Target        string
-	New           bool          // the target has the version on trial
+	OnTrial       bool          // the target has the version on trial
 	Failed        bool          // no answer, an incomplete one, or a failure of the target's own
 	FirstByte     time.Duration // until the answer began; 0: it did not
 	EventInterval time.Duration // between two events of a stream; 0: not known
@@ -130,7 +130,7 @@
 // cellOf is where an answer counts.
 func cellOf(a Answer) cell {
 	c := cell{Route: a.Route, Domain: a.Domain}
-	if a.New {
+	if a.OnTrial {
 		c.Target = a.Target
 	}
 	return c
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -270,8 +270,8 @@
 	if s == nil {
 		return
 	}
-	answer.New = version == s.order.Version
-	if a.NotRetryable && !answer.New && !answer.Unsent {
+	answer.OnTrial = version == s.order.Version
+	if a.NotRetryable && !answer.OnTrial && !answer.Unsent {
 		s.report.Open = max(s.report.Open-1, 0)
 	}
 	if answer.Void {
