--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -40,9 +40,9 @@
 	}
 	switch res {
 	case refused, callerGone:
-		a.Void = true
+		a.Inconclusive = true
 	case outOfTime:
-		a.Void, a.Failed = c.status != 0, c.status == 0
+		a.Inconclusive, a.Failed = c.status != 0, c.status == 0
 	case delivered:
 		a.Failed = c.status >= http.StatusInternalServerError
 	default:
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -96,7 +96,7 @@
 // Ended implements forward.Rollouts.
 func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Answer) {
 	r.gate.Ended(a, version, answer)
-	if !answer.Void && r.gate.Undecided(a.Service) {
+	if !answer.Inconclusive && r.gate.Undecided(a.Service) {
 		r.node.observer.Count(fmt.Sprintf("version_answers_total{service=%q,version=%q,failed=\"%t\"}", a.Service, version, answer.Failed))
 	}
 }
--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -14,7 +14,7 @@
 	Failed        bool          // no answer, an incomplete one, or a failure of the target's own
 	FirstByte     time.Duration // until the answer began; 0: it did not
 	EventInterval time.Duration // between two events of a stream; 0: not known
-	Void          bool          // it tells nothing: its caller left, or the target said that it was full
+	Inconclusive  bool          // it tells nothing: its caller left, or the target said that it was full
 	Unsent        bool          // the target can't have got the request
 }
 
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -274,7 +274,7 @@
 	if a.NotRetryable && !answer.OnTrial && !answer.Unsent {
 		s.report.Open = max(s.report.Open-1, 0)
 	}
-	if answer.Void {
+	if answer.Inconclusive {
 		return
 	}
 	c := cellOf(answer)
