--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -36,7 +36,7 @@
 // that it is cold.
 func (c *call) answer(res result, cold bool) rollout.Answer {
 	a := rollout.Answer{
-		Route: c.request.route.Name, Domain: c.target.Domain, Target: c.target.ID, Unsent: res == notSent,
+		Route: c.request.route.Name, Domain: c.target.Domain, Target: c.target.ID, NotSent: res == notSent,
 	}
 	switch res {
 	case refused, callerGone:
--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -15,7 +15,7 @@
 	FirstByte     time.Duration // until the answer began; 0: it did not
 	EventInterval time.Duration // between two events of a stream; 0: not known
 	Inconclusive  bool          // it tells nothing: its caller left, or the target said that it was full
-	Unsent        bool          // the target can't have got the request
+	NotSent       bool          // the target can't have got the request
 }
 
 // cell is what answers are counted by. Those of old targets are counted by failure domain: a
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -271,7 +271,7 @@
 		return
 	}
 	answer.OnTrial = version == s.order.Version
-	if a.NotRetryable && !answer.OnTrial && !answer.Unsent {
+	if a.NotRetryable && !answer.OnTrial && !answer.NotSent {
 		s.report.Open = max(s.report.Open-1, 0)
 	}
 	if answer.Inconclusive {
