--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -102,7 +102,7 @@
 }
 
 // saw notes the version of a listed target.
-func (r *rollouts) saw(e target.Entry) { r.gate.Saw(e.Service, e.Version, time.Now()) }
+func (r *rollouts) saw(e target.Entry) { r.gate.NoteVersion(e.Service, e.Version, time.Now()) }
 
 // orderChanged takes over an order, or that it was taken back, if the record is one. What can't be
 // read changes nothing.
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -74,10 +74,10 @@
 	return s
 }
 
-// Saw notes that a target of a version is listed. Unless it is the first version, the order to move
+// NoteVersion notes that a target of a version is listed. Unless it is the first version, the order to move
 // to it may be on its way here: it gets nothing until the orders are known that were given until
 // now.
-func (g *Gate) Saw(name, version string, now time.Time) {
+func (g *Gate) NoteVersion(name, version string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name)
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -23,9 +23,9 @@
 	is := is.New(t)
 	read := false
 	g := NewGate("h", func(time.Time) bool { return read })
-	g.Saw("s", "v1", day)
+	g.NoteVersion("s", "v1", day)
 	is.True(g.Rule(first, day).Allows("v1"))
-	g.Saw("s", "v2", day)
+	g.NoteVersion("s", "v2", day)
 	is.True(g.Rule(first, day).Allows("v1"))
 	is.True(!g.Rule(first, day).Allows("v2"))
 	read = true
@@ -42,8 +42,8 @@
 		g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
 		return true
 	})
-	g.Saw("s", "v1", day)
-	g.Saw("s", "v2", day)
+	g.NoteVersion("s", "v1", day)
+	g.NoteVersion("s", "v2", day)
 	is.True(!g.Rule(first, day).Allows("v2"))
 }
 
