--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -189,7 +189,7 @@
 		return
 	}
 	if advice, ok := r.node.fleet.ReportRollout(ctx, report); ok {
-		r.gate.Told(o.Service, o.Version, advice, r.node.fleet.Size(), time.Now())
+		r.gate.SetAdvice(o.Service, o.Version, advice, r.node.fleet.Size(), time.Now())
 	}
 }
 
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -157,8 +157,8 @@
 	s.standing = standingOf(s.order, s.record)
 }
 
-// Told takes over the advice of the host that conducts a rollout, in a fleet of so many hosts.
-func (g *Gate) Told(name, version string, a Advice, hosts int, now time.Time) {
+// SetAdvice takes over the advice of the host that conducts a rollout, in a fleet of so many hosts.
+func (g *Gate) SetAdvice(name, version string, a Advice, hosts int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -206,7 +206,7 @@
 		for o := range g.Open() {
 			r, _ := g.Report(o)
 			s.conduct.Take(r)
-			g.Told("s", "v2", s.conduct.Advise(s.view(), s.now), len(s.gates), s.now)
+			g.SetAdvice("s", "v2", s.conduct.Advise(s.view(), s.now), len(s.gates), s.now)
 		}
 	}
 	if s.age()%(500*time.Millisecond) != 0 {
