--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -91,7 +91,7 @@
 }
 
 // Sent implements forward.Rollouts.
-func (r *rollouts) Sent(a rollout.Request, version string) { r.gate.Sent(a, version) }
+func (r *rollouts) Sent(a rollout.Request, version string) { r.gate.RequestSent(a, version) }
 
 // Ended implements forward.Rollouts.
 func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Answer) {
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -240,8 +240,8 @@
 	return s
 }
 
-// Sent counts a request that was sent to a target of a version.
-func (g *Gate) Sent(a Request, version string) {
+// RequestSent counts a request that was sent to a target of a version.
+func (g *Gate) RequestSent(a Request, version string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.watched(a.Service)
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -132,7 +132,7 @@
 		return
 	}
 	version := map[bool]string{false: "v1", true: "v2"}[t.isNew]
-	s.gates[host].Sent(ask, version)
+	s.gates[host].RequestSent(ask, version)
 	if s.age() <= simPeriod {
 		s.sent++
 		if t.isNew && s.undecided() {
