--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -95,7 +95,7 @@
 
 // Ended implements forward.Rollouts.
 func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Answer) {
-	r.gate.Ended(a, version, answer)
+	r.gate.RequestEnded(a, version, answer)
 	if !answer.Inconclusive && r.gate.Undecided(a.Service) {
 		r.node.observer.Count(fmt.Sprintf("version_answers_total{service=%q,version=%q,failed=\"%t\"}", a.Service, version, answer.Failed))
 	}
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// Ended counts the end of a request that Sent counted, and what its answer tells.
-func (g *Gate) Ended(a Request, version string, answer Answer) {
+// RequestEnded counts the end of a request that Sent counted, and what its answer tells.
+func (g *Gate) RequestEnded(a Request, version string, answer Answer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.watched(a.Service)
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -191,7 +191,7 @@
 			return false
 		}
 		e.target.open--
-		s.gates[e.host].Ended(e.ask, map[bool]string{false: "v1", true: "v2"}[e.target.isNew], e.answer)
+		s.gates[e.host].RequestEnded(e.ask, map[bool]string{false: "v1", true: "v2"}[e.target.isNew], e.answer)
 		return true
 	})
 }
