--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -164,7 +164,9 @@
 }
 
 // open says whether a rollout is not decided.
-func (r *rollouts) open() bool { return len(r.gate.Open()) > 0 || len(r.gate.Orphaned()) > 0 }
+func (r *rollouts) open() bool {
+	return len(r.gate.UndecidedOrders()) > 0 || len(r.gate.Orphaned()) > 0
+}
 
 // follow takes part until all rollouts are decided, as far as this host knows.
 func (r *rollouts) follow(ctx context.Context) {
@@ -175,7 +177,7 @@
 	all.Go(func() { r.states.Run(ctx) })
 	all.Go(func() { r.conductAll(ctx) })
 	for ctx.Err() == nil && (r.open() || !r.states.Loaded()) {
-		for order := range r.gate.Open() {
+		for order := range r.gate.UndecidedOrders() {
 			r.report(ctx, order)
 		}
 		wait.For(ctx, wait.Jitter(rollout.Interval(r.node.fleet.Size())))
@@ -213,7 +215,7 @@
 
 // orderOf finds the order that a report is about.
 func (r *rollouts) orderOf(report rollout.Report) (o rollout.Order, heard time.Time, ok bool) {
-	for o, heard := range r.gate.Open() {
+	for o, heard := range r.gate.UndecidedOrders() {
 		if o.Service == report.Service && o.Version == report.Version {
 			return o, heard, true
 		}
@@ -242,7 +244,7 @@
 
 // decisions lists the records that are to be written, and forgets the rollouts that are over.
 func (r *rollouts) decisions(now time.Time) (records []rollout.Record) {
-	open := r.gate.Open()
+	open := r.gate.UndecidedOrders()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for o, c := range r.conductors {
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -284,9 +284,9 @@
 	s.cells[c].note(answer)
 }
 
-// Open lists the orders that are not decided, as far as this host knows, with the moment at
+// UndecidedOrders lists the orders that are not decided, as far as this host knows, with the moment at
 // which it heard of each.
-func (g *Gate) Open() map[Order]time.Time {
+func (g *Gate) UndecidedOrders() map[Order]time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	open := map[Order]time.Time{}
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -91,7 +91,7 @@
 	g.SetAdvice("s", "v2", Advice{Able: true, Phase: Trial, Share: 1}, 6, day)
 	g.SetOrder(order, day)
 	is.True(!g.Rule(first, day).Allows("v2"))
-	is.Equal(len(g.Open()), 0)
+	is.Equal(len(g.UndecidedOrders()), 0)
 	is.Equal(Record{State: RolledBack}.ended(Done).State, RolledBack)
 	is.Equal(Record{State: Done}.ended(RolledBack).State, Done)
 
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -203,7 +203,7 @@
 			continue
 		}
 		s.advised[i] = s.now.Add(Interval(len(s.gates)))
-		for o := range g.Open() {
+		for o := range g.UndecidedOrders() {
 			r, _ := g.Report(o)
 			s.conduct.Take(r)
 			g.SetAdvice("s", "v2", s.conduct.Advise(s.view(), s.now), len(s.gates), s.now)
