--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -165,7 +165,7 @@
 
 // open says whether a rollout is not decided.
 func (r *rollouts) open() bool {
-	return len(r.gate.UndecidedOrders()) > 0 || len(r.gate.Orphaned()) > 0
+	return len(r.gate.UndecidedOrders()) > 0 || len(r.gate.OrphanedRecords()) > 0
 }
 
 // follow takes part until all rollouts are decided, as far as this host knows.
@@ -258,7 +258,7 @@
 			records = append(records, next)
 		}
 	}
-	for _, rec := range r.gate.Orphaned() {
+	for _, rec := range r.gate.OrphanedRecords() {
 		if next, ok := rollout.Drop(&rec); ok && r.node.fleet.IsPrimaryForRollout(rec.Service) {
 			records = append(records, next)
 		}
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -317,8 +317,8 @@
 	return s != nil && s.standing.trial+s.standing.wanted != ""
 }
 
-// Orphaned lists the records of rollouts that run though their order was taken back.
-func (g *Gate) Orphaned() (records []Record) {
+// OrphanedRecords lists the records of rollouts that run though their order was taken back.
+func (g *Gate) OrphanedRecords() (records []Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.services {
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -132,15 +132,15 @@
 	g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
 	is.True(g.DropOrder("s"))
 	is.True(!g.DropOrder("s"))
-	is.Equal(len(g.Orphaned()), 0) // it had not begun
+	is.Equal(len(g.OrphanedRecords()), 0) // it had not begun
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
 	is.True(!g.Rule(first, day).Allows("v2"))
-	is.Equal(len(g.Orphaned()), 1)
+	is.Equal(len(g.OrphanedRecords()), 1)
 	next, ok := Drop(g.Record("s"))
 	is.True(ok)
 	is.Equal(next.State, RolledBack)
 	g.SetRecord(next)
-	is.Equal(len(g.Orphaned()), 0)
+	is.Equal(len(g.OrphanedRecords()), 0)
 	_, ok = Drop(g.Record("s"))
 	is.True(!ok)
 }
