--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -123,7 +123,7 @@
 			log.WithFields(fields).Info("rollout ordered")
 		}
 	default:
-		if changed = r.gate.DropOrder(order.Service); changed {
+		if changed = r.gate.WithdrawOrder(order.Service); changed {
 			log.WithFields(fields).Info("order of a rollout taken back")
 		}
 	}
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -135,8 +135,8 @@
 	return true
 }
 
-// DropOrder notes that the order of a service was taken back.
-func (g *Gate) DropOrder(name string) (changed bool) {
+// WithdrawOrder notes that the order of a service was taken back.
+func (g *Gate) WithdrawOrder(name string) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -130,8 +130,8 @@
 	is := is.New(t)
 	g := newTestGate(true)
 	g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
-	is.True(g.DropOrder("s"))
-	is.True(!g.DropOrder("s"))
+	is.True(g.WithdrawOrder("s"))
+	is.True(!g.WithdrawOrder("s"))
 	is.Equal(len(g.OrphanedRecords()), 0) // it had not begun
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
 	is.True(!g.Rule(first, day).Allows("v2"))
