--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -93,7 +93,7 @@
 func (c *Conductor) count(r Report, times int64) {
 	c.total.Sent += times * r.Sent
 	c.total.Trial += times * r.Trial
-	c.total.Single += times * r.Single
+	c.total.NotRetryable += times * r.NotRetryable
 	c.total.Open += times * r.Open
 	for _, cell := range r.Cells {
 		c.judge.add(cell.cell, cell.counts, times)
@@ -110,20 +110,20 @@
 
 func (r *rates) note(total Report, now time.Time) {
 	if r.at.IsZero() {
-		r.at, r.sent, r.single = now, total.Sent, total.Single
+		r.at, r.sent, r.single = now, total.Sent, total.NotRetryable
 		return
 	}
 	took := now.Sub(r.at).Seconds()
 	if took < rateEvery.Seconds() {
 		return
 	}
-	all, singles := float64(total.Sent-r.sent)/took, float64(total.Single-r.single)/took
+	all, singles := float64(total.Sent-r.sent)/took, float64(total.NotRetryable-r.single)/took
 	if !r.wasMeasured {
 		r.all, r.singles, r.wasMeasured = all, singles, true
 	}
 	r.all += rateWeight * (all - r.all)
 	r.singles += rateWeight * (singles - r.singles)
-	r.at, r.sent, r.single = now, total.Sent, total.Single
+	r.at, r.sent, r.single = now, total.Sent, total.NotRetryable
 }
 
 // Step weighs the evidence. It is called some times a second.
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -258,7 +258,7 @@
 		s.report.Open++
 	}
 	if a.NotRetryable && a.FirstAttempt {
-		s.report.Single++
+		s.report.NotRetryable++
 	}
 }
 
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -13,11 +13,11 @@
 	// those sent to the version on trial.
 	Sent  int64 `json:"sent"`
 	Trial int64 `json:"trial"`
-	// Single counts, of Sent, those that may not be sent again; Open, of them, those under way at
+	// NotRetryable counts, of Sent, those that may not be sent again; Open, of them, those under way at
 	// old targets.
-	Single int64       `json:"single"`
-	Open   int64       `json:"open"`
-	Cells  []cellCount `json:"cells,omitempty"`
+	NotRetryable int64       `json:"single"`
+	Open         int64       `json:"open"`
+	Cells        []cellCount `json:"cells,omitempty"`
 }
 
 type cellCount struct {
