--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -94,7 +94,7 @@
 	c.total.Sent += times * r.Sent
 	c.total.Trial += times * r.Trial
 	c.total.NotRetryable += times * r.NotRetryable
-	c.total.Open += times * r.Open
+	c.total.NotRetryableOnOld += times * r.NotRetryableOnOld
 	for _, cell := range r.Cells {
 		c.judge.add(cell.cell, cell.counts, times)
 	}
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -255,7 +255,7 @@
 	case version == s.order.Version:
 		s.report.Trial++
 	case a.NotRetryable:
-		s.report.Open++
+		s.report.NotRetryableOnOld++
 	}
 	if a.NotRetryable && a.FirstAttempt {
 		s.report.NotRetryable++
@@ -272,7 +272,7 @@
 	}
 	answer.OnTrial = version == s.order.Version
 	if a.NotRetryable && !answer.OnTrial && !answer.NotSent {
-		s.report.Open = max(s.report.Open-1, 0)
+		s.report.NotRetryableOnOld = max(s.report.NotRetryableOnOld-1, 0)
 	}
 	if answer.Inconclusive {
 		return
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -15,9 +15,9 @@
 	Trial int64 `json:"trial"`
 	// NotRetryable counts, of Sent, those that may not be sent again; Open, of them, those under way at
 	// old targets.
-	NotRetryable int64       `json:"single"`
-	Open         int64       `json:"open"`
-	Cells        []cellCount `json:"cells,omitempty"`
+	NotRetryable      int64       `json:"single"`
+	NotRetryableOnOld int64       `json:"open"`
+	Cells             []cellCount `json:"cells,omitempty"`
 }
 
 type cellCount struct {
