--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -83,7 +83,7 @@
 // conduct is this host's advice.
 func (f *Fleet) conduct(r rollout.Report) rollout.Advice {
 	if f.opts.Rollouts == nil {
-		return rollout.Advice{Phase: rollout.Held}
+		return rollout.Advice{Phase: rollout.PhaseHeld}
 	}
 	return f.opts.Rollouts.Conduct(r)
 }
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -199,7 +199,7 @@
 func (r *rollouts) Conduct(report rollout.Report) rollout.Advice {
 	order, heard, ok := r.orderOf(report)
 	if !ok {
-		return rollout.Advice{Phase: rollout.Held} // this host has not heard of it yet
+		return rollout.Advice{Phase: rollout.PhaseHeld} // this host has not heard of it yet
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -63,7 +63,7 @@
 	is.True(!g.Rule(first, day).Allows("v2")) // not drawn
 	g.draw = func() float64 { return 0 }
 	is.True(!g.Rule(first, day.Add(2*time.Second)).Allows("v2")) // old advice
-	g.SetAdvice("s", "v2", Advice{Phase: Held, Share: 0.1}, 6, day)
+	g.SetAdvice("s", "v2", Advice{Phase: PhaseHeld, Share: 0.1}, 6, day)
 	is.True(!g.Rule(first, day).Allows("v2"))
 }
 
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -30,8 +30,8 @@
 
 // The phases.
 const (
-	// Held: nothing is sent to the new version.
-	Held Phase = "held"
+	// PhaseHeld: nothing is sent to the new version.
+	PhaseHeld Phase = "held"
 	// Trial: a part of the requests goes to the new version.
 	Trial Phase = "trial"
 	// Moving: what may not be sent again goes to the new version, so that old targets are without
