--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -219,7 +219,7 @@
 		return a
 	}
 	c.share = c.trialShare(v)
-	a.Phase, a.Share = Trial, c.share
+	a.Phase, a.Share = PhaseTrial, c.share
 	if left := c.moving.Add(c.moveFor).Sub(now); !c.moving.IsZero() && left > 0 {
 		a.Phase, a.MovingMs = Moving, left.Milliseconds()
 	}
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -203,7 +203,7 @@
 			return 1
 		}
 		return s.advice.Share
-	case Trial:
+	case PhaseTrial:
 		return s.advice.Share
 	}
 	return 0
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -32,8 +32,8 @@
 const (
 	// PhaseHeld: nothing is sent to the new version.
 	PhaseHeld Phase = "held"
-	// Trial: a part of the requests goes to the new version.
-	Trial Phase = "trial"
+	// PhaseTrial: a part of the requests goes to the new version.
+	PhaseTrial Phase = "trial"
 	// Moving: what may not be sent again goes to the new version, so that old targets are without
 	// it as they stop; of the rest, a part.
 	Moving Phase = "moving"
