--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -221,7 +221,7 @@
 	c.share = c.trialShare(v)
 	a.Phase, a.Share = PhaseTrial, c.share
 	if left := c.moving.Add(c.moveFor).Sub(now); !c.moving.IsZero() && left > 0 {
-		a.Phase, a.MovingMs = Moving, left.Milliseconds()
+		a.Phase, a.MovingMs = PhaseMoving, left.Milliseconds()
 	}
 	return a
 }
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -198,7 +198,7 @@
 		return 0
 	}
 	switch s.advice.Phase {
-	case Moving:
+	case PhaseMoving:
 		if a.NotRetryable && age < time.Duration(s.advice.MovingMs)*time.Millisecond {
 			return 1
 		}
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -74,7 +74,7 @@
 	g.draw = func() float64 { return 0.9 }
 	g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
-	g.SetAdvice("s", "v2", Advice{Able: true, Phase: Moving, Share: 0.1, MovingMs: 700}, 6, day)
+	g.SetAdvice("s", "v2", Advice{Able: true, Phase: PhaseMoving, Share: 0.1, MovingMs: 700}, 6, day)
 	single := Request{Service: "s", FirstAttempt: true, NotRetryable: true}
 	is.Equal(g.Rule(single, day).Only, "v2")
 	is.Equal(g.Rule(first, day).Only, "")
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -34,9 +34,9 @@
 	PhaseHeld Phase = "held"
 	// PhaseTrial: a part of the requests goes to the new version.
 	PhaseTrial Phase = "trial"
-	// Moving: what may not be sent again goes to the new version, so that old targets are without
+	// PhaseMoving: what may not be sent again goes to the new version, so that old targets are without
 	// it as they stop; of the rest, a part.
-	Moving Phase = "moving"
+	PhaseMoving Phase = "moving"
 )
 
 // Advice is the answer to a report.
