--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -29,10 +29,10 @@
 		if err != nil {
 			continue
 		}
-		if !ok || got.Able {
+		if !ok || got.LogReachable {
 			advice, ok = got, true
 		}
-		if got.Able {
+		if got.LogReachable {
 			break
 		}
 	}
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -214,7 +214,7 @@
 
 // Advise tells a host what to do.
 func (c *Conductor) Advise(v View, now time.Time) Advice {
-	a := Advice{Able: v.Known, Phase: PhaseHeld}
+	a := Advice{LogReachable: v.Known, Phase: PhaseHeld}
 	if c.condemned || !c.running(v) || v.Versions[c.order.Version] == 0 {
 		return a
 	}
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -56,7 +56,7 @@
 	is.True(!g.Rule(first, day).Allows("v2")) // not begun
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running, Base: []string{"v1"}})
 	is.True(!g.Rule(first, day).Allows("v2")) // no advice
-	g.SetAdvice("s", "v2", Advice{Able: true, Phase: PhaseTrial, Share: 0.1}, 6, day)
+	g.SetAdvice("s", "v2", Advice{LogReachable: true, Phase: PhaseTrial, Share: 0.1}, 6, day)
 	is.Equal(g.Rule(first, day).Only, "v2")
 	is.True(!g.Rule(Request{Service: "s"}, day).Allows("v2")) // a repeat goes to the old version
 	g.draw = func() float64 { return 0.5 }
@@ -74,7 +74,7 @@
 	g.draw = func() float64 { return 0.9 }
 	g.SetOrder(Order{Service: "s", Version: "v2", Period: time.Minute}, day)
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
-	g.SetAdvice("s", "v2", Advice{Able: true, Phase: PhaseMoving, Share: 0.1, MovingMs: 700}, 6, day)
+	g.SetAdvice("s", "v2", Advice{LogReachable: true, Phase: PhaseMoving, Share: 0.1, MovingMs: 700}, 6, day)
 	single := Request{Service: "s", FirstAttempt: true, NotRetryable: true}
 	is.Equal(g.Rule(single, day).Only, "v2")
 	is.Equal(g.Rule(first, day).Only, "")
@@ -88,7 +88,7 @@
 	order := Order{Service: "s", Version: "v2", Period: time.Minute}
 	g.SetOrder(order, day)
 	g.SetRecord(Record{Service: "s", Version: "v2", State: RolledBack, Base: []string{"v1"}})
-	g.SetAdvice("s", "v2", Advice{Able: true, Phase: PhaseTrial, Share: 1}, 6, day)
+	g.SetAdvice("s", "v2", Advice{LogReachable: true, Phase: PhaseTrial, Share: 1}, 6, day)
 	g.SetOrder(order, day)
 	is.True(!g.Rule(first, day).Allows("v2"))
 	is.Equal(len(g.UndecidedOrders()), 0)
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -41,10 +41,10 @@
 
 // Advice is the answer to a report.
 type Advice struct {
-	// Able says that the host that answers reaches the log. Another one is asked if not.
-	Able  bool    `json:"able"`
-	Phase Phase   `json:"phase"`
-	Share float64 `json:"share"` // of the requests that go to the new version
+	// LogReachable says that the host that answers reaches the log. Another one is asked if not.
+	LogReachable bool    `json:"able"`
+	Phase        Phase   `json:"phase"`
+	Share        float64 `json:"share"` // of the requests that go to the new version
 	// MovingMs is how long Moving lasts, if nothing else is heard.
 	MovingMs int64 `json:"moving_ms,omitempty"`
 }
