--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -180,7 +180,7 @@
 		for order := range r.gate.UndecidedOrders() {
 			r.report(ctx, order)
 		}
-		wait.For(ctx, wait.Jitter(rollout.Interval(r.node.fleet.Size())))
+		wait.For(ctx, wait.Jitter(rollout.ReportInterval(r.node.fleet.Size())))
 	}
 }
 
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -196,7 +196,7 @@
 
 // unreported is how many requests went to the new version since the reports, about.
 func (c *Conductor) unreported(v View) float64 {
-	return c.rates.all * c.share * Interval(v.Hosts).Seconds()
+	return c.rates.all * c.share * ReportInterval(v.Hosts).Seconds()
 }
 
 // planMove is how long what may not be sent again can go to the new version within the bounds.
@@ -206,7 +206,7 @@
 	}
 	left := boundMargin*c.bounds.Share*float64(c.total.Sent) + (1-slackPart)*c.bounds.Slack - float64(c.total.Trial) - c.unreported(v)
 	span := min(time.Duration(left/c.rates.singles*float64(time.Second)), mostMove, c.after(movePart))
-	if span < Interval(v.Hosts) {
+	if span < ReportInterval(v.Hosts) {
 		return 0 // over before all hosts have heard of it
 	}
 	return span
@@ -243,7 +243,7 @@
 		share = min(max(wanted, leastTrial), trialPart*boundMargin*c.bounds.Share)
 	}
 	// Where callers are few, the slack brings the answers.
-	bySlack := spare / (c.rates.all * Interval(v.Hosts).Seconds())
+	bySlack := spare / (c.rates.all * ReportInterval(v.Hosts).Seconds())
 	return min(max(share, min(wanted, bySlack)), mostTrial)
 }
 
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -165,7 +165,7 @@
 	if s == nil || s.order == nil || s.order.Version != version {
 		return
 	}
-	s.advice, s.told, s.interval = a, now, Interval(hosts)
+	s.advice, s.told, s.interval = a, now, ReportInterval(hosts)
 }
 
 // Rule gives the versions that a request may use.
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -58,7 +58,7 @@
 	staleIntervals = 2.5
 )
 
-// Interval is the time between two reports of a host in a fleet of so many.
-func Interval(hosts int) time.Duration {
+// ReportInterval is the time between two reports of a host in a fleet of so many.
+func ReportInterval(hosts int) time.Duration {
 	return max(leastInterval, time.Duration(hosts)*intervalForHost)
 }
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -85,7 +85,7 @@
 		g.draw = rng.Float64
 		g.SetOrder(order, start)
 		s.gates = append(s.gates, g)
-		s.advised[i] = start.Add(time.Duration(rng.Int64N(int64(Interval(hosts)))))
+		s.advised[i] = start.Add(time.Duration(rng.Int64N(int64(ReportInterval(hosts)))))
 	}
 	s.conduct = NewConductor(order, simBounds, start)
 	for i := range 24 {
@@ -202,7 +202,7 @@
 		if s.now.Before(s.advised[i]) || s.model.deaf != nil && s.model.deaf(s, i, s.age()) {
 			continue
 		}
-		s.advised[i] = s.now.Add(Interval(len(s.gates)))
+		s.advised[i] = s.now.Add(ReportInterval(len(s.gates)))
 		for o := range g.UndecidedOrders() {
 			r, _ := g.Report(o)
 			s.conduct.Take(r)
