--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -38,7 +38,7 @@
 	news   chan struct{} // full: an order came or went
 
 	mu         sync.Mutex
-	conductors map[rollout.Order]*rollout.Conductor
+	conductors map[rollout.Order]*rollout.Coordinator
 	lists      map[string]listed // by service
 }
 
@@ -49,7 +49,7 @@
 }
 
 func (n *Node) newRollouts(incarnation string) *rollouts {
-	r := &rollouts{node: n, news: make(chan struct{}, 1), conductors: map[rollout.Order]*rollout.Conductor{}, lists: map[string]listed{}}
+	r := &rollouts{node: n, news: make(chan struct{}, 1), conductors: map[rollout.Order]*rollout.Coordinator{}, lists: map[string]listed{}}
 	r.gate = rollout.NewGate(n.cfg.Host.Name+"/"+incarnation, r.ordersKnown)
 	r.states = replica.New(replica.Options{
 		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.StatusTopic},
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -53,10 +53,10 @@
 	Hosts    int
 }
 
-// Conductor conducts the rollout of one order from the reports of hosts. Any host may conduct:
+// Coordinator conducts the rollout of one order from the reports of hosts. Any host may conduct:
 // reports tell all since the order, and the log takes one decision. It is not safe for
 // concurrent use.
-type Conductor struct {
+type Coordinator struct {
 	bounds Bounds
 	order  Order
 	heard  time.Time // when this host heard of the order
@@ -75,12 +75,12 @@
 }
 
 // NewConductor conducts an order that this host heard of at a moment.
-func NewConductor(o Order, b Bounds, heard time.Time) *Conductor {
-	return &Conductor{bounds: b, order: o, heard: heard, judge: newJudge(), reports: map[string]Report{}}
+func NewConductor(o Order, b Bounds, heard time.Time) *Coordinator {
+	return &Coordinator{bounds: b, order: o, heard: heard, judge: newJudge(), reports: map[string]Report{}}
 }
 
 // Take takes in a report, unless a newer one of its host is known.
-func (c *Conductor) Take(r Report) {
+func (c *Coordinator) Take(r Report) {
 	last, had := c.reports[r.Host]
 	if r.Service != c.order.Service || r.Version != c.order.Version || had && r.Number <= last.Number {
 		return
@@ -90,7 +90,7 @@
 	c.reports[r.Host] = r
 }
 
-func (c *Conductor) count(r Report, times int64) {
+func (c *Coordinator) count(r Report, times int64) {
 	c.total.Sent += times * r.Sent
 	c.total.Trial += times * r.Trial
 	c.total.NotRetryable += times * r.NotRetryable
@@ -127,7 +127,7 @@
 }
 
 // Step weighs the evidence. It is called some times a second.
-func (c *Conductor) Step(v View, now time.Time) {
+func (c *Coordinator) Step(v View, now time.Time) {
 	c.rates.note(c.total, now)
 	c.judge.snap(now)
 	c.worst, c.tests = c.judge.worst(v.Versions[c.order.Version])
@@ -142,7 +142,7 @@
 }
 
 // line has the figures that decide.
-func (c *Conductor) line() *log.Entry {
+func (c *Coordinator) line() *log.Entry {
 	return log.WithFields(log.Fields{
 		"service": c.order.Service, "version": c.order.Version, "sent": c.total.Sent, "trial": c.total.Trial, "hosts": len(c.reports),
 		"route": c.worst.Route, "sign": c.worst.Sign, "weight": c.worst.Weight, "bad": c.worst.Bad, "of": c.worst.Of, "old_share": c.worst.OldShare,
@@ -150,7 +150,7 @@
 }
 
 // watch is how long the new version is watched.
-func (c *Conductor) watch() time.Duration {
+func (c *Coordinator) watch() time.Duration {
 	if c.judge.answers() < enoughAnswers {
 		return c.after(longWatch)
 	}
@@ -158,19 +158,21 @@
 }
 
 // mayMove says whether the new version was watched for long enough and nothing speaks against it.
-func (c *Conductor) mayMove(v View, now time.Time) bool {
+func (c *Coordinator) mayMove(v View, now time.Time) bool {
 	return c.running(v) && !c.condemned && !c.doubted() && v.Versions[c.order.Version] > 0 && c.old(v) > 0 &&
 		c.age(v, now) >= c.watch()
 }
 
 // doubted says whether the evidence is half of what condemns.
-func (c *Conductor) doubted() bool { return c.worst.Weight > threshold(c.tests)/2 }
+func (c *Coordinator) doubted() bool { return c.worst.Weight > threshold(c.tests)/2 }
 
 // running says whether the order was begun and not decided.
-func (c *Conductor) running(v View) bool { return v.Record.decides(c.order) && !v.Record.State.Final() }
+func (c *Coordinator) running(v View) bool {
+	return v.Record.decides(c.order) && !v.Record.State.Final()
+}
 
 // old counts the ready targets of other versions.
-func (c *Conductor) old(v View) (n int) {
+func (c *Coordinator) old(v View) (n int) {
 	for version, targets := range v.Versions {
 		if version != c.order.Version {
 			n += targets
@@ -180,13 +182,13 @@
 }
 
 // after is a moment of the order's period.
-func (c *Conductor) after(part float64) time.Duration {
+func (c *Coordinator) after(part float64) time.Duration {
 	return time.Duration(part * float64(c.order.Period))
 }
 
 // age is the time since the order. A host that heard of it late goes by the record, whose clock
 // may be off by seconds.
-func (c *Conductor) age(v View, now time.Time) time.Duration {
+func (c *Coordinator) age(v View, now time.Time) time.Duration {
 	age := now.Sub(c.heard)
 	if v.Record.decides(c.order) && !v.Record.Began.IsZero() {
 		age = max(age, min(now.Sub(v.Record.Began), c.order.Period))
@@ -195,12 +197,12 @@
 }
 
 // unreported is how many requests went to the new version since the reports, about.
-func (c *Conductor) unreported(v View) float64 {
+func (c *Coordinator) unreported(v View) float64 {
 	return c.rates.all * c.share * ReportInterval(v.Hosts).Seconds()
 }
 
 // planMove is how long what may not be sent again can go to the new version within the bounds.
-func (c *Conductor) planMove(v View) time.Duration {
+func (c *Coordinator) planMove(v View) time.Duration {
 	if c.rates.singles <= 0 {
 		return 0
 	}
@@ -213,7 +215,7 @@
 }
 
 // Advise tells a host what to do.
-func (c *Conductor) Advise(v View, now time.Time) Advice {
+func (c *Coordinator) Advise(v View, now time.Time) Advice {
 	a := Advice{LogReachable: v.Known, Phase: PhaseHeld}
 	if c.condemned || !c.running(v) || v.Versions[c.order.Version] == 0 {
 		return a
@@ -228,7 +230,7 @@
 
 // trialShare is the part of the requests that goes to the new version: enough to judge by, and
 // within the bounds.
-func (c *Conductor) trialShare(v View) float64 {
+func (c *Coordinator) trialShare(v View) float64 {
 	allowed := trialPart*boundMargin*c.bounds.Share*float64(c.total.Sent) + slackPart*c.bounds.Slack
 	spare := allowed - float64(c.total.Trial) - c.unreported(v)
 	if spare <= 0 {
@@ -248,7 +250,7 @@
 }
 
 // Decide gives the record that is to be written now; ok is false if there is none.
-func (c *Conductor) Decide(v View, now time.Time) (next Record, ok bool) {
+func (c *Coordinator) Decide(v View, now time.Time) (next Record, ok bool) {
 	switch {
 	case !v.Known:
 		return next, false
@@ -270,7 +272,7 @@
 }
 
 // verdict is the final state of a rollout that is to end now.
-func (c *Conductor) verdict(v View, now time.Time) (s State, decided bool) {
+func (c *Coordinator) verdict(v View, now time.Time) (s State, decided bool) {
 	age := c.age(v, now)
 	last := age >= c.after(lastPart)
 	switch {
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -55,7 +55,7 @@
 	start    time.Time
 	now      time.Time
 	gates    []*Gate
-	conduct  *Conductor
+	conduct  *Coordinator
 	targets  []*simTarget
 	record   *Record
 	advised  []time.Time
