--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -206,7 +206,7 @@
 	c := r.conductors[order]
 	if c == nil {
 		b := r.node.newestSettings().Bounds
-		c = rollout.NewConductor(order, rollout.Bounds{Share: b.ExposureShare, Slack: b.ExposureSlack}, heard)
+		c = rollout.NewCoordinator(order, rollout.Bounds{Share: b.ExposureShare, Slack: b.ExposureSlack}, heard)
 		r.conductors[order] = c
 	}
 	c.Take(report)
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -74,8 +74,8 @@
 	moveFor   time.Duration
 }
 
-// NewConductor conducts an order that this host heard of at a moment.
-func NewConductor(o Order, b Bounds, heard time.Time) *Coordinator {
+// NewCoordinator conducts an order that this host heard of at a moment.
+func NewCoordinator(o Order, b Bounds, heard time.Time) *Coordinator {
 	return &Coordinator{bounds: b, order: o, heard: heard, judge: newJudge(), reports: map[string]Report{}}
 }
 
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -87,7 +87,7 @@
 		s.gates = append(s.gates, g)
 		s.advised[i] = start.Add(time.Duration(rng.Int64N(int64(ReportInterval(hosts)))))
 	}
-	s.conduct = NewConductor(order, simBounds, start)
+	s.conduct = NewCoordinator(order, simBounds, start)
 	for i := range 24 {
 		s.targets = append(s.targets, &simTarget{
 			id: fmt.Sprint("t", i), domain: fmt.Sprint("d", i%simDomains), isNew: i >= 12, number: i % 12,
