--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -209,7 +209,7 @@
 		c = rollout.NewCoordinator(order, rollout.Bounds{Share: b.ExposureShare, Slack: b.ExposureSlack}, heard)
 		r.conductors[order] = c
 	}
-	c.Take(report)
+	c.AddReport(report)
 	return c.Advise(r.view(order), time.Now())
 }
 
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -79,8 +79,8 @@
 	return &Coordinator{bounds: b, order: o, heard: heard, judge: newJudge(), reports: map[string]Report{}}
 }
 
-// Take takes in a report, unless a newer one of its host is known.
-func (c *Coordinator) Take(r Report) {
+// AddReport takes in a report, unless a newer one of its host is known.
+func (c *Coordinator) AddReport(r Report) {
 	last, had := c.reports[r.Host]
 	if r.Service != c.order.Service || r.Version != c.order.Version || had && r.Number <= last.Number {
 		return
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -205,7 +205,7 @@
 		s.advised[i] = s.now.Add(ReportInterval(len(s.gates)))
 		for o := range g.UndecidedOrders() {
 			r, _ := g.Report(o)
-			s.conduct.Take(r)
+			s.conduct.AddReport(r)
 			g.SetAdvice("s", "v2", s.conduct.Advise(s.view(), s.now), len(s.gates), s.now)
 		}
 	}
