--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -253,7 +253,7 @@
 			continue
 		}
 		v := r.view(o)
-		c.Step(v, now)
+		c.Evaluate(v, now)
 		if next, ok := c.Decide(v, now); ok {
 			records = append(records, next)
 		}
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -126,8 +126,8 @@
 	r.at, r.sent, r.single = now, total.Sent, total.NotRetryable
 }
 
-// Step weighs the evidence. It is called some times a second.
-func (c *Coordinator) Step(v View, now time.Time) {
+// Evaluate weighs the evidence. It is called some times a second.
+func (c *Coordinator) Evaluate(v View, now time.Time) {
 	c.rates.note(c.total, now)
 	c.judge.snap(now)
 	c.worst, c.tests = c.judge.worst(v.Versions[c.order.Version])
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -212,7 +212,7 @@
 	if s.age()%(500*time.Millisecond) != 0 {
 		return
 	}
-	s.conduct.Step(s.view(), s.now)
+	s.conduct.Evaluate(s.view(), s.now)
 	if next, ok := s.conduct.Decide(s.view(), s.now); ok {
 		s.record = &next
 		if next.State.Final() && s.finalAt == 0 {
