--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -227,7 +227,7 @@
 func (r *rollouts) view(o rollout.Order) rollout.View {
 	up, contact := r.states.Up()
 	return rollout.View{
-		Record: r.gate.Record(o.Service), Known: up && time.Since(contact) < stateAge,
+		Record: r.gate.Record(o.Service), RecordCurrent: up && time.Since(contact) < stateAge,
 		Versions: r.node.targets.CountReadyByVersion(o.Service), Hosts: r.node.fleet.Size(),
 	}
 }
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -47,10 +47,10 @@
 
 // View is what the host that conducts a rollout sees beside the reports.
 type View struct {
-	Record   *Record        // the newest one of the service, nil: none
-	Known    bool           // the log told of the record a moment ago
-	Versions map[string]int // ready targets of the service by version
-	Hosts    int
+	Record        *Record        // the newest one of the service, nil: none
+	RecordCurrent bool           // the log told of the record a moment ago
+	Versions      map[string]int // ready targets of the service by version
+	Hosts         int
 }
 
 // Coordinator conducts the rollout of one order from the reports of hosts. Any host may conduct:
@@ -216,7 +216,7 @@
 
 // Advise tells a host what to do.
 func (c *Coordinator) Advise(v View, now time.Time) Advice {
-	a := Advice{LogReachable: v.Known, Phase: PhaseHeld}
+	a := Advice{LogReachable: v.RecordCurrent, Phase: PhaseHeld}
 	if c.condemned || !c.running(v) || v.Versions[c.order.Version] == 0 {
 		return a
 	}
@@ -252,7 +252,7 @@
 // Decide gives the record that is to be written now; ok is false if there is none.
 func (c *Coordinator) Decide(v View, now time.Time) (next Record, ok bool) {
 	switch {
-	case !v.Known:
+	case !v.RecordCurrent:
 		return next, false
 	case !v.Record.decides(c.order):
 		return begin(c.order, v.Record, versionsOf(v), now), true
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -100,7 +100,7 @@
 
 func (s *simFleet) view() View {
 	away := s.model.away != nil && s.model.away(s.age())
-	return View{Record: s.record, Known: !away, Versions: map[string]int{"v1": 12, "v2": 12}, Hosts: len(s.gates)}
+	return View{Record: s.record, RecordCurrent: !away, Versions: map[string]int{"v1": 12, "v2": 12}, Hosts: len(s.gates)}
 }
 
 // run plays a day at so many requests a second.
