--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -259,7 +259,7 @@
 		}
 	}
 	for _, rec := range r.gate.OrphanedRecords() {
-		if next, ok := rollout.Drop(&rec); ok && r.node.fleet.IsPrimaryForRollout(rec.Service) {
+		if next, ok := rollout.Withdraw(&rec); ok && r.node.fleet.IsPrimaryForRollout(rec.Service) {
 			records = append(records, next)
 		}
 	}
--- a/router/rollout/conductor.go
+++ b/router/rollout/conductor.go
@@ -290,9 +290,9 @@
 	return Done, last
 }
 
-// Drop is the record of an order that was taken back before it was decided; ok is false if
+// Withdraw is the record of an order that was taken back before it was decided; ok is false if
 // nothing is to be written.
-func Drop(r *Record) (next Record, ok bool) {
+func Withdraw(r *Record) (next Record, ok bool) {
 	if r == nil || r.State.Final() {
 		return next, false
 	}
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -136,11 +136,11 @@
 	g.SetRecord(Record{Service: "s", Version: "v2", State: Running})
 	is.True(!g.Rule(first, day).Allows("v2"))
 	is.Equal(len(g.OrphanedRecords()), 1)
-	next, ok := Drop(g.Record("s"))
+	next, ok := Withdraw(g.Record("s"))
 	is.True(ok)
 	is.Equal(next.State, RolledBack)
 	g.SetRecord(next)
 	is.Equal(len(g.OrphanedRecords()), 0)
-	_, ok = Drop(g.Record("s"))
+	_, ok = Withdraw(g.Record("s"))
 	is.True(!ok)
 }
