--- a/router/rollout/rule.go
+++ b/router/rollout/rule.go
@@ -48,7 +48,7 @@
 	leastSpread  = 4 // targets: what strikes one is told from what its version does
 )
 
-// Spread is how many targets bear a part of the requests that so many old targets had.
-func Spread(old int, share float64) int {
+// TrialTargets is how many targets bear a part of the requests that so many old targets had.
+func TrialTargets(old int, share float64) int {
 	return max(int(math.Ceil(spreadFactor*share*float64(old))), leastSpread)
 }
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -153,7 +153,7 @@
 	var usable []*simTarget
 	for _, t := range s.targets {
 		version := map[bool]string{false: "v1", true: "v2"}[t.isNew]
-		if !rule.Allows(version) || rule.Only != "" && rule.Share < 1 && t.number >= Spread(12, rule.Share) {
+		if !rule.Allows(version) || rule.Only != "" && rule.Share < 1 && t.number >= TrialTargets(12, rule.Share) {
 			continue
 		}
 		usable = append(usable, t)
--- a/router/target/trial.go
+++ b/router/target/trial.go
@@ -19,7 +19,7 @@
 		return usable
 	}
 	fresh, old := r.byVersion(w.Service, w.Versions.Only)
-	few := firstOfDomains(w.Service, fresh, rollout.Spread(old, w.Versions.Share))
+	few := firstOfDomains(w.Service, fresh, rollout.TrialTargets(old, w.Versions.Share))
 	return slices.DeleteFunc(usable, func(t *Target) bool { return !slices.Contains(few, t) })
 }
 
--- a/router/target/trial_test.go
+++ b/router/target/trial_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	trial := Requirements{Service: "s", Versions: rollout.Rule{Only: "new", Share: 0.05}}
 	a, b := chosen(twoVersions(100), trial, 200), chosen(twoVersions(100), trial, 200)
-	is.Equal(len(a), rollout.Spread(100, 0.05))
+	is.Equal(len(a), rollout.TrialTargets(100, 0.05))
 	domains := map[string]bool{}
 	for id := range a {
 		is.True(b[id] > 0)
