--- a/router/rollout/rollout.go
+++ b/router/rollout/rollout.go
@@ -55,13 +55,13 @@
 // Check says whether a record can be one that a host wrote.
 func (r Record) Check() error {
 	if r.Version == "" || r.State != Running && !r.State.Final() {
-		return ErrNoState
+		return ErrInvalidRecord
 	}
 	return nil
 }
 
-// ErrNoState means that a record names no version, or a state that there is not.
-var ErrNoState = errors.New("rollout: version or a known state is missing")
+// ErrInvalidRecord means that a record names no version, or a state that there is not.
+var ErrInvalidRecord = errors.New("rollout: version or a known state is missing")
 
 // decides says whether a record is the one of an order.
 func (r *Record) decides(o Order) bool { return r != nil && r.Version == o.Version }
