--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -115,9 +115,9 @@
 	return g.tally.ends(d)
 }
 
-// Young says whether a request that broke off so long after its first event, 0 before it,
+// EarlyCrash says whether a request that broke off so long after its first event, 0 before it,
 // counts as just begun.
-func Young(ran time.Duration) bool { return ran < youngRun }
+func EarlyCrash(ran time.Duration) bool { return ran < youngRun }
 
 // Whole notes that a target ran a request to its end.
 func (g *Guard) Whole(d Digest) {
--- a/router/quarantine/tally_test.go
+++ b/router/quarantine/tally_test.go
@@ -109,7 +109,7 @@
 				continue
 			case r.target == ended:
 				broken++
-				s := tally.add(Report{Digest: r.digest, Target: fmt.Sprint(i), Young: Young(now.Sub(r.began) - first)}, now)
+				s := tally.add(Report{Digest: r.digest, Target: fmt.Sprint(i), Young: EarlyCrash(now.Sub(r.began) - first)}, now)
 				held[r.digest] = held[r.digest] || s.guilty()
 				if r.tries == mostTries {
 					continue
