--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -78,7 +78,7 @@
 
 func (q *request) reportOf(b TargetExit) quarantine.Report {
 	r := quarantine.Report{
-		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Young: quarantine.EarlyCrash(b.SinceFirstEvent),
+		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Early: quarantine.EarlyCrash(b.SinceFirstEvent),
 	}
 	if q.organisation != nil {
 		r.Organisation = q.organisation.Name
--- a/router/quarantine/fleet_test.go
+++ b/router/quarantine/fleet_test.go
@@ -254,13 +254,13 @@
 	f.ends = append(f.ends, time.Now())
 	hosts := f.hosts
 	f.mu.Unlock()
-	h.guard.Broke(Report{Digest: guilty, Target: target, RequestID: "id", Young: true})
+	h.guard.Broke(Report{Digest: guilty, Target: target, RequestID: "id", Early: true})
 	for range simBystander {
 		var d Digest
 		for i := range d {
 			d[i] = byte(rand.Uint32())
 		}
-		hosts[rand.IntN(len(hosts))].guard.Broke(Report{Digest: d, Target: target, RequestID: "id", Young: rand.IntN(4) == 0})
+		hosts[rand.IntN(len(hosts))].guard.Broke(Report{Digest: d, Target: target, RequestID: "id", Early: rand.IntN(4) == 0})
 	}
 }
 
@@ -352,7 +352,7 @@
 		f.hosts[5].guard.Whole(hot) // just one host saw it whole
 		for i := range 12 {
 			for n := range 20 {
-				f.hosts[10+n].guard.Broke(Report{Digest: hot, Target: fmt.Sprintf("target-%d", i), Young: true})
+				f.hosts[10+n].guard.Broke(Report{Digest: hot, Target: fmt.Sprintf("target-%d", i), Early: true})
 			}
 			time.Sleep(time.Second)
 			for _, h := range f.hosts {
--- a/router/quarantine/guard_test.go
+++ b/router/quarantine/guard_test.go
@@ -55,7 +55,7 @@
 // accuseOf lets three targets end under a request.
 func (l *lonely) accuseOf(d Digest) {
 	for _, target := range []string{"a", "b", "c"} {
-		l.Broke(Report{Digest: d, Organisation: "o", Service: "s", RequestID: "r-" + target, Target: target, Young: true})
+		l.Broke(Report{Digest: d, Organisation: "o", Service: "s", RequestID: "r-" + target, Target: target, Early: true})
 	}
 	settle(time.Second)
 }
@@ -139,7 +139,7 @@
 		l.Changed([]replica.Change{{Record: eventlog.Record{Key: KeyPrefix + guilty.String()}}})
 		is.True(!l.Held(guilty))
 		// It counts anew.
-		l.Broke(Report{Digest: guilty, Target: "d", Young: true})
+		l.Broke(Report{Digest: guilty, Target: "d", Early: true})
 		settle(time.Second)
 		is.True(!l.Held(guilty))
 	})
--- a/router/quarantine/tally.go
+++ b/router/quarantine/tally.go
@@ -34,7 +34,7 @@
 	Service      string `json:"service"`
 	RequestID    string `json:"request"`
 	Target       string `json:"target"` // the incarnation that ended
-	Young        bool   `json:"young"`  // the request had not run for long
+	Early        bool   `json:"young"`  // the request had not run for long
 }
 
 // suspect is a request under which targets ended.
@@ -82,7 +82,7 @@
 		t.suspects[r.Digest] = s
 	}
 	s.newest, s.at = r, now
-	s.ends[r.Target] = s.ends[r.Target] || r.Young
+	s.ends[r.Target] = s.ends[r.Target] || r.Early
 	return s
 }
 
--- a/router/quarantine/tally_test.go
+++ b/router/quarantine/tally_test.go
@@ -15,11 +15,11 @@
 	is := is.New(t)
 	tally, now := newTally(), time.Now()
 	for range 10 { // many tries of it broke there, at several hosts
-		s := tally.add(Report{Digest: guilty, Target: "a", Young: true}, now)
+		s := tally.add(Report{Digest: guilty, Target: "a", Early: true}, now)
 		is.True(!s.guilty())
 	}
-	is.True(!tally.add(Report{Digest: guilty, Target: "b", Young: true}, now).guilty())
-	is.True(tally.add(Report{Digest: guilty, Target: "c", Young: true}, now).guilty())
+	is.True(!tally.add(Report{Digest: guilty, Target: "b", Early: true}, now).guilty())
+	is.True(tally.add(Report{Digest: guilty, Target: "c", Early: true}, now).guilty())
 }
 
 func TestRunsOfSomeLengthCountLess(t *testing.T) {
@@ -36,25 +36,25 @@
 	is := is.New(t)
 	tally, now := newTally(), time.Now()
 	for _, target := range []string{"a", "b"} {
-		tally.add(Report{Digest: digestOf(1), Target: target, Young: true}, now)
+		tally.add(Report{Digest: digestOf(1), Target: target, Early: true}, now)
 	}
 	tally.explain([]string{"a", "b", "c"}, now)
 	is.Equal(tally.ends(digestOf(1)), 0)
-	is.True(tally.add(Report{Digest: digestOf(1), Target: "c", Young: true}, now) == nil)
-	is.Equal(len(tally.add(Report{Digest: digestOf(1), Target: "d", Young: true}, now).ends), 1)
+	is.True(tally.add(Report{Digest: digestOf(1), Target: "c", Early: true}, now) == nil)
+	is.Equal(len(tally.add(Report{Digest: digestOf(1), Target: "d", Early: true}, now).ends), 1)
 }
 
 func TestSuspicionIsBoundedAndPasses(t *testing.T) {
 	is := is.New(t)
 	tally, now := newTally(), time.Now()
 	for i := range maxSuspects + 100 {
-		tally.add(Report{Digest: digestOf(i), Target: "a", Young: true}, now.Add(time.Duration(i)))
+		tally.add(Report{Digest: digestOf(i), Target: "a", Early: true}, now.Add(time.Duration(i)))
 	}
 	is.Equal(len(tally.suspects), maxSuspects)
 	is.Equal(tally.ends(digestOf(0)), 0) // the oldest gave way
 	is.Equal(tally.ends(digestOf(maxSuspects+99)), 1)
 	later := now.Add(suspectMemory + time.Minute)
-	is.Equal(len(tally.add(Report{Digest: digestOf(maxSuspects + 99), Target: "b", Young: true}, later).ends), 1)
+	is.Equal(len(tally.add(Report{Digest: digestOf(maxSuspects + 99), Target: "b", Early: true}, later).ends), 1)
 }
 
 func TestClearedSetKeepsTheNewest(t *testing.T) {
@@ -109,7 +109,7 @@
 				continue
 			case r.target == ended:
 				broken++
-				s := tally.add(Report{Digest: r.digest, Target: fmt.Sprint(i), Young: EarlyCrash(now.Sub(r.began) - first)}, now)
+				s := tally.add(Report{Digest: r.digest, Target: fmt.Sprint(i), Early: EarlyCrash(now.Sub(r.began) - first)}, now)
 				held[r.digest] = held[r.digest] || s.guilty()
 				if r.tries == mostTries {
 					continue
