--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -167,7 +167,7 @@
 	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, MaxWait: 20 * time.Millisecond})
 	b.guard = quarantine.New(quarantine.Options{
 		Host: "h1", Write: func(context.Context, eventlog.Record) error { return nil },
-		OnHold: func(d quarantine.Digest) { b.handler.AbortWaiting(d) }, Count: func(string) {}, Go: func(_ string, f func()) { go f() },
+		OnQuarantine: func(d quarantine.Digest) { b.handler.AbortWaiting(d) }, Count: func(string) {}, Go: func(_ string, f func()) { go f() },
 	})
 	b.guard.SetPeers(nobody{})
 	b.handler = New(Options{
--- a/router/node/quarantine.go
+++ b/router/node/quarantine.go
@@ -16,11 +16,11 @@
 // seconds, for some entries a day.
 func (n *Node) newGuard() {
 	n.guard = quarantine.New(quarantine.Options{
-		Host:   n.cfg.Host.Name,
-		Write:  n.writeHosts,
-		OnHold: func(d quarantine.Digest) { n.handler.AbortWaiting(d) },
-		Count:  func(name string) { n.observer.Count(name) },
-		Go:     guard.Go,
+		Host:         n.cfg.Host.Name,
+		Write:        n.writeHosts,
+		OnQuarantine: func(d quarantine.Digest) { n.handler.AbortWaiting(d) },
+		Count:        func(name string) { n.observer.Count(name) },
+		Go:           guard.Go,
 	})
 }
 
--- a/router/quarantine/fleet_test.go
+++ b/router/quarantine/fleet_test.go
@@ -83,7 +83,7 @@
 	defer f.mu.Unlock()
 	h := &simHost{fleet: f, name: fmt.Sprintf("host-%d", len(f.hosts))}
 	h.guard = New(Options{
-		Host: h.name, Write: h.write, OnHold: func(Digest) {}, Count: func(string) {}, Go: func(_ string, do func()) { go do() },
+		Host: h.name, Write: h.write, OnQuarantine: func(Digest) {}, Count: func(string) {}, Go: func(_ string, do func()) { go do() },
 	})
 	h.guard.SetPeers(h)
 	f.hosts = append(f.hosts, h)
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -35,8 +35,8 @@
 	// Write puts a record into the topic where entries last. It returns nil once the record
 	// is there.
 	Write func(ctx context.Context, rec eventlog.Record) error
-	// OnHold is told of each request that came into quarantine; it must not block.
-	OnHold func(d Digest)
+	// OnQuarantine is told of each request that came into quarantine; it must not block.
+	OnQuarantine func(d Digest)
 	// Count counts what happens.
 	Count func(name string)
 	// Go starts a goroutine.
--- a/router/quarantine/guard_test.go
+++ b/router/quarantine/guard_test.go
@@ -27,7 +27,7 @@
 
 func newLonely() *lonely {
 	l := &lonely{}
-	l.Guard = New(Options{Host: "h", Write: l.write, OnHold: l.onHold, Count: func(string) {}, Go: func(_ string, f func()) { go f() }})
+	l.Guard = New(Options{Host: "h", Write: l.write, OnQuarantine: l.onHold, Count: func(string) {}, Go: func(_ string, f func()) { go f() }})
 	l.SetPeers(l)
 	return l
 }
--- a/router/quarantine/judge.go
+++ b/router/quarantine/judge.go
@@ -114,7 +114,7 @@
 			"targets": strings.Join(e.Targets, ","), "decided_by": e.Host, "from_log": kept,
 		}).Warn("request in quarantine")
 		g.opts.Count("quarantine_entries_total")
-		g.opts.OnHold(e.Digest)
+		g.opts.OnQuarantine(e.Digest)
 	}
 	return dropped
 }
