--- a/router/node/harness_test.go
+++ b/router/node/harness_test.go
@@ -130,7 +130,7 @@
 
 func (f *testFleet) startWith(cfg *settings.Settings, clocks suspend.Clocks) *host {
 	f.t.Helper()
-	outside := Outside{
+	outside := Environment{
 		Log: f.log.Host(cfg.Host.Name), Headers: headers,
 		ConfigTopic: topicConfig, TargetsTopic: topicTargets, HostsTopic: topicHosts, BudgetsTopic: topicBudgets,
 		ArchiveTopic: topicArchive, MaxRecordBytes: 1 << 18,
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -34,9 +34,9 @@
 	"maststage.dev/router/unread"
 )
 
-// Outside is how a router meets the systems around it: names and formats, no
+// Environment is how a router meets the systems around it: names and formats, no
 // decisions.
-type Outside struct {
+type Environment struct {
 	Log     eventlog.Log
 	Headers forward.Headers
 	// Topics of the shared log. Hosts, Budgets and Archive are this product's own.
@@ -67,7 +67,7 @@
 	cfg          *settings.Settings // of the start
 	reload       sync.Mutex
 	latest       *settings.Settings // last reloaded, guarded by reload
-	outside      Outside
+	outside      Environment
 	observer     *observe.Observer
 	handler      *forward.Handler
 	targets      *target.Registry
@@ -98,12 +98,12 @@
 }
 
 // New puts a node together; Run starts it.
-func New(cfg *settings.Settings, outside Outside, incarnation string) *Node {
+func New(cfg *settings.Settings, outside Environment, incarnation string) *Node {
 	return newWith(cfg, outside, incarnation, suspend.SystemClocks())
 }
 
 // newWith is New with clocks of the caller's.
-func newWith(cfg *settings.Settings, outside Outside, incarnation string, clocks suspend.Clocks) *Node {
+func newWith(cfg *settings.Settings, outside Environment, incarnation string, clocks suspend.Clocks) *Node {
 	n := &Node{
 		cfg: cfg, latest: cfg, outside: outside,
 		observer:     observe.New(cfg.Output.LinesPerSecond),
