--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -190,7 +190,7 @@
 	}
 	answer := pullResponse{Topics: map[string]topicPart{}}
 	if ask.EndsOnly && f.opts.Quarantine != nil {
-		answer.Quarantine = f.opts.Quarantine.Unkept()
+		answer.Quarantine = f.opts.Quarantine.Unpersisted()
 	}
 	for topic, c := range f.opts.Replicas {
 		from, wanted := ask.From[topic]
--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -152,7 +152,7 @@
 		return err
 	}
 	for _, e := range ends.Quarantine {
-		p.fleet.opts.Quarantine.Notice(quarantine.Notice{Entry: e})
+		p.fleet.opts.Quarantine.HandleNotice(quarantine.Notice{Entry: e})
 	}
 	p.fetching.Lock()
 	defer p.fetching.Unlock()
--- a/router/fleet/quarantine.go
+++ b/router/fleet/quarantine.go
@@ -33,10 +33,10 @@
 
 // Quarantine is what this host knows of requests that crash targets; *quarantine.Guard does.
 type Quarantine interface {
-	Take(reports []quarantine.Report)
+	AddReports(reports []quarantine.Report)
 	IsCleared(d quarantine.Digest) bool
-	Notice(n quarantine.Notice)
-	Unkept() []quarantine.Entry
+	HandleNotice(n quarantine.Notice)
+	Unpersisted() []quarantine.Entry
 }
 
 type endsRequest struct {
@@ -97,8 +97,8 @@
 	return cleared.Load()
 }
 
-// Tell gives a notice to all other hosts, and again to those that did not answer.
-func (f *Fleet) Tell(ctx context.Context, n quarantine.Notice) {
+// Broadcast gives a notice to all other hosts, and again to those that did not answer.
+func (f *Fleet) Broadcast(ctx context.Context, n quarantine.Notice) {
 	addresses := f.addresses()
 	for range tellRounds {
 		var mu sync.Mutex
@@ -138,7 +138,7 @@
 	if !read(w, r, &ask) {
 		return
 	}
-	f.opts.Quarantine.Take(ask.Reports)
+	f.opts.Quarantine.AddReports(ask.Reports)
 	write(w, done{})
 }
 
@@ -155,6 +155,6 @@
 	if !read(w, r, &n) {
 		return
 	}
-	f.opts.Quarantine.Notice(n)
+	f.opts.Quarantine.HandleNotice(n)
 	write(w, done{})
 }
--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -47,7 +47,7 @@
 		return kind, err
 	}
 	q.digest = q.content().Digest()
-	if h.opts.Quarantine.Held(q.digest) {
+	if h.opts.Quarantine.IsQuarantined(q.digest) {
 		return Quarantined, nil
 	}
 	q.head = h.commonHead(q.r, q.body)
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -35,7 +35,7 @@
 	q.charge(c, res)
 	c.lookForEnd(res)
 	if res == delivered && c.whole {
-		q.handler.opts.Quarantine.Whole(q.digest)
+		q.handler.opts.Quarantine.RecordCompletion(q.digest)
 	}
 	targets.EndRequest(t, c.work, c.judgement(res))
 	if res == notSent && !q.handler.opts.Overload.Overloaded(time.Now()) {
--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -56,7 +56,7 @@
 		defer cancel()
 		ended := h.opts.Targets.ProbeExited(ctx, t)
 		if ended {
-			h.opts.Quarantine.Broke(report)
+			h.opts.Quarantine.RecordExit(report)
 			h.opts.Observer.TargetExited(b)
 		}
 		look <- ended
@@ -97,7 +97,7 @@
 		}
 	case <-time.After(blameWait):
 	}
-	return q.young && q.handler.opts.Quarantine.Ends(q.digest) >= endsToBlame
+	return q.young && q.handler.opts.Quarantine.TargetExits(q.digest) >= endsToBlame
 }
 
 // waits are the tries that wait for the beginning of an answer, so that those of a request
--- a/router/forward/ends_test.go
+++ b/router/forward/ends_test.go
@@ -80,7 +80,7 @@
 	go func() { answers <- b.do(req) }()
 	b.eventually("it waits at the target", func() bool { return b.arrivals() == 1 })
 	d := quarantine.Content{Organisation: "org", Method: "POST", Host: "a.example", URI: "/stream/x", Body: []byte("deadly")}.Digest()
-	b.guard.Notice(quarantine.Notice{Entry: quarantine.Entry{Digest: d}})
+	b.guard.HandleNotice(quarantine.Notice{Entry: quarantine.Entry{Digest: d}})
 	got := <-answers
 	b.is.Equal(got.status, http.StatusBadGateway)
 	b.eventually("the target is told", func() bool { return b.backends["slow"].Runs()[0].Cancelled })
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -28,14 +28,14 @@
 
 // Quarantine keeps requests that crash targets from being sent; *quarantine.Guard does.
 type Quarantine interface {
-	// Held says whether a request must not be sent.
-	Held(d quarantine.Digest) bool
-	// Ends counts the ends of targets under a request that this host knows of.
-	Ends(d quarantine.Digest) int
-	// Broke notes that a request broke off because its target ended.
-	Broke(r quarantine.Report)
-	// Whole notes that a target ran a request to its end.
-	Whole(d quarantine.Digest)
+	// IsQuarantined says whether a request must not be sent.
+	IsQuarantined(d quarantine.Digest) bool
+	// TargetExits counts the ends of targets under a request that this host knows of.
+	TargetExits(d quarantine.Digest) int
+	// RecordExit notes that a request broke off because its target ended.
+	RecordExit(r quarantine.Report)
+	// RecordCompletion notes that a target ran a request to its end.
+	RecordCompletion(d quarantine.Digest)
 }
 
 // Options configure a Handler.
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -125,7 +125,7 @@
 func (nobody) CountingHosts(quarantine.Digest) (others []string, place int) { return nil, 0 }
 func (nobody) Report(context.Context, string, []quarantine.Report) error    { return nil }
 func (nobody) Cleared(context.Context, quarantine.Digest) bool              { return false }
-func (nobody) Tell(context.Context, quarantine.Notice)                      {}
+func (nobody) Broadcast(context.Context, quarantine.Notice)                 {}
 
 // bench is a handler between a caller and backends.
 type bench struct {
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -50,7 +50,7 @@
 	unsent := 0
 	var last error
 	for {
-		if q.handler.opts.Quarantine.Held(q.digest) {
+		if q.handler.opts.Quarantine.IsQuarantined(q.digest) {
 			return q.giveUp(Quarantined, last)
 		}
 		if q.regions().Empty() {
--- a/router/node/crash_test.go
+++ b/router/node/crash_test.go
@@ -281,7 +281,7 @@
 	f.ready(young)
 	pool.stopped(young)
 	f.log.SetFault("", memlog.Fault{})
-	f.eventually("the log has it", func() bool { return len(hosts[0].guard.Unkept()) == 0 })
+	f.eventually("the log has it", func() bool { return len(hosts[0].guard.Unpersisted()) == 0 })
 }
 
 // Hosts that the log turns away, or that nobody reaches for a while, learn it when they can.
@@ -305,7 +305,7 @@
 func TestQuarantineOutlivesAllHosts(t *testing.T) {
 	f, hosts, pool := crashFleet(t, 3, 8)
 	playCrashes(f, hosts, pool, 200*time.Millisecond)
-	f.eventually("the log has it", func() bool { return len(hosts[0].guard.Unkept()) == 0 })
+	f.eventually("the log has it", func() bool { return len(hosts[0].guard.Unpersisted()) == 0 })
 	for _, h := range hosts {
 		h.kill()
 		<-h.done
--- a/router/quarantine/fleet_test.go
+++ b/router/quarantine/fleet_test.go
@@ -139,7 +139,7 @@
 		return err
 	}
 	time.Sleep(2 * time.Millisecond)
-	o.guard.Take(reports)
+	o.guard.AddReports(reports)
 	return nil
 }
 
@@ -164,10 +164,10 @@
 	return false
 }
 
-func (h *simHost) Tell(_ context.Context, n Notice) {
+func (h *simHost) Broadcast(_ context.Context, n Notice) {
 	for _, name := range h.others() {
 		if o, err := h.call(name, n); err == nil {
-			o.guard.Notice(n)
+			o.guard.HandleNotice(n)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 
 // send lets a host send the guilty request.
 func (f *simFleet) send(h *simHost, guilty Digest) {
-	if h.guard.Held(guilty) {
+	if h.guard.IsQuarantined(guilty) {
 		return
 	}
 	now := time.Now()
@@ -254,13 +254,13 @@
 	f.ends = append(f.ends, time.Now())
 	hosts := f.hosts
 	f.mu.Unlock()
-	h.guard.Broke(Report{Digest: guilty, Target: target, RequestID: "id", Early: true})
+	h.guard.RecordExit(Report{Digest: guilty, Target: target, RequestID: "id", Early: true})
 	for range simBystander {
 		var d Digest
 		for i := range d {
 			d[i] = byte(rand.Uint32())
 		}
-		hosts[rand.IntN(len(hosts))].guard.Broke(Report{Digest: d, Target: target, RequestID: "id", Early: rand.IntN(4) == 0})
+		hosts[rand.IntN(len(hosts))].guard.RecordExit(Report{Digest: d, Target: target, RequestID: "id", Early: rand.IntN(4) == 0})
 	}
 }
 
@@ -349,14 +349,14 @@
 		f := newSimFleet(t, 87, 3)
 		f.start(ctx)
 		hot := Content{URI: "/hot"}.Digest()
-		f.hosts[5].guard.Whole(hot) // just one host saw it whole
+		f.hosts[5].guard.RecordCompletion(hot) // just one host saw it whole
 		for i := range 12 {
 			for n := range 20 {
-				f.hosts[10+n].guard.Broke(Report{Digest: hot, Target: fmt.Sprintf("target-%d", i), Early: true})
+				f.hosts[10+n].guard.RecordExit(Report{Digest: hot, Target: fmt.Sprintf("target-%d", i), Early: true})
 			}
 			time.Sleep(time.Second)
 			for _, h := range f.hosts {
-				is.True(!h.guard.Held(hot))
+				is.True(!h.guard.IsQuarantined(hot))
 			}
 		}
 		f.finish(stop)
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -25,8 +25,8 @@
 	Report(ctx context.Context, address string, reports []Report) error
 	// Cleared asks all hosts whether a request came whole somewhere.
 	Cleared(ctx context.Context, d Digest) bool
-	// Tell gives a notice to all hosts.
-	Tell(ctx context.Context, n Notice)
+	// Broadcast gives a notice to all hosts.
+	Broadcast(ctx context.Context, n Notice)
 }
 
 // Options configure a Guard.
@@ -83,8 +83,8 @@
 // SetPeers tells the other hosts. It is called once, before the guard is used.
 func (g *Guard) SetPeers(p Peers) { g.peers = p }
 
-// Held says whether a request is in quarantine.
-func (g *Guard) Held(d Digest) bool {
+// IsQuarantined says whether a request is in quarantine.
+func (g *Guard) IsQuarantined(d Digest) bool {
 	if !g.holding.Load() {
 		return false
 	}
@@ -108,8 +108,8 @@
 	return slices.Collect(maps.Values(g.list.entries))
 }
 
-// Ends counts the ends of targets under a request that this host knows of.
-func (g *Guard) Ends(d Digest) int {
+// TargetExits counts the ends of targets under a request that this host knows of.
+func (g *Guard) TargetExits(d Digest) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tally.ends(d)
@@ -119,8 +119,8 @@
 // counts as just begun.
 func EarlyCrash(ran time.Duration) bool { return ran < youngRun }
 
-// Whole notes that a target ran a request to its end.
-func (g *Guard) Whole(d Digest) {
+// RecordCompletion notes that a target ran a request to its end.
+func (g *Guard) RecordCompletion(d Digest) {
 	g.mu.Lock()
 	g.cleared.add(d)
 	g.tally.forget(d)
@@ -138,12 +138,12 @@
 	return g.cleared.has(d)
 }
 
-// Broke notes that a request of this host broke off because its target ended.
-func (g *Guard) Broke(r Report) {
+// RecordExit notes that a request of this host broke off because its target ended.
+func (g *Guard) RecordExit(r Report) {
 	if g.IsCleared(r.Digest) {
 		return
 	}
-	g.Take([]Report{r})
+	g.AddReports([]Report{r})
 	select {
 	case g.reports <- r:
 	default:
@@ -151,8 +151,8 @@
 	}
 }
 
-// Take counts reports of this host or of others.
-func (g *Guard) Take(reports []Report) {
+// AddReports counts reports of this host or of others.
+func (g *Guard) AddReports(reports []Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -169,8 +169,8 @@
 	}
 }
 
-// Notice takes in what another host decided. A host that knows a whole answer objects.
-func (g *Guard) Notice(n Notice) {
+// HandleNotice takes in what another host decided. A host that knows a whole answer objects.
+func (g *Guard) HandleNotice(n Notice) {
 	d := n.Entry.Digest
 	switch {
 	case n.Lifted:
@@ -209,9 +209,9 @@
 	}
 }
 
-// Unkept lists the entries that are not known to be in the topic yet: hosts that can't read
+// Unpersisted lists the entries that are not known to be in the topic yet: hosts that can't read
 // it take them from each other.
-func (g *Guard) Unkept() []Entry {
+func (g *Guard) Unpersisted() []Entry {
 	if !g.holding.Load() {
 		return nil
 	}
--- a/router/quarantine/guard_test.go
+++ b/router/quarantine/guard_test.go
@@ -35,7 +35,7 @@
 func (l *lonely) CountingHosts(Digest) ([]string, int)           { return nil, 0 }
 func (l *lonely) Report(context.Context, string, []Report) error { return nil }
 func (l *lonely) Cleared(context.Context, Digest) bool           { return false }
-func (l *lonely) Tell(_ context.Context, n Notice) {
+func (l *lonely) Broadcast(_ context.Context, n Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notices = append(l.notices, n)
@@ -55,7 +55,7 @@
 // accuseOf lets three targets end under a request.
 func (l *lonely) accuseOf(d Digest) {
 	for _, target := range []string{"a", "b", "c"} {
-		l.Broke(Report{Digest: d, Organisation: "o", Service: "s", RequestID: "r-" + target, Target: target, Early: true})
+		l.RecordExit(Report{Digest: d, Organisation: "o", Service: "s", RequestID: "r-" + target, Target: target, Early: true})
 	}
 	settle(time.Second)
 }
@@ -73,7 +73,7 @@
 		l.failing = 3
 		l.accuseOf(guilty)
 		settle(5 * time.Second)
-		is.True(l.Held(guilty))
+		is.True(l.IsQuarantined(guilty))
 		is.Equal(l.held, []Digest{guilty})
 		is.Equal(len(l.notices), 1)
 		is.Equal(len(l.records), 1) // though the log was away at first
@@ -85,9 +85,9 @@
 		// A host that reads the record holds it, too.
 		other := newLonely()
 		other.Changed([]replica.Change{{Record: l.records[0]}})
-		is.True(other.Held(guilty))
-		is.Equal(len(other.Unkept()), 0)
-		is.Equal(len(l.Unkept()), 1) // it did not read its own record back yet
+		is.True(other.IsQuarantined(guilty))
+		is.Equal(len(other.Unpersisted()), 0)
+		is.Equal(len(l.Unpersisted()), 1) // it did not read its own record back yet
 	})
 }
 
@@ -95,9 +95,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newLonely()
-		l.Whole(guilty)
+		l.RecordCompletion(guilty)
 		l.accuseOf(guilty)
-		is.True(!l.Held(guilty))
+		is.True(!l.IsQuarantined(guilty))
 	})
 }
 
@@ -107,10 +107,10 @@
 		is := is.New(t)
 		l := newLonely()
 		l.accuseOf(guilty)
-		is.True(l.Held(guilty))
-		l.Whole(guilty)
+		is.True(l.IsQuarantined(guilty))
+		l.RecordCompletion(guilty)
 		settle(time.Second)
-		is.True(!l.Held(guilty))
+		is.True(!l.IsQuarantined(guilty))
 		is.True(l.notices[len(l.notices)-1].Lifted)
 		is.Equal(len(l.records[len(l.records)-1].Value), 0) // its record is deleted
 	})
@@ -121,10 +121,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newLonely()
-		l.Whole(guilty)
-		l.Notice(Notice{Entry: Entry{Digest: guilty}})
+		l.RecordCompletion(guilty)
+		l.HandleNotice(Notice{Entry: Entry{Digest: guilty}})
 		settle(time.Second)
-		is.True(!l.Held(guilty))
+		is.True(!l.IsQuarantined(guilty))
 		is.Equal(len(l.notices), 1)
 		is.True(l.notices[0].Lifted)
 	})
@@ -135,13 +135,13 @@
 		is := is.New(t)
 		l := newLonely()
 		l.accuseOf(guilty)
-		is.True(l.Held(guilty))
+		is.True(l.IsQuarantined(guilty))
 		l.Changed([]replica.Change{{Record: eventlog.Record{Key: KeyPrefix + guilty.String()}}})
-		is.True(!l.Held(guilty))
+		is.True(!l.IsQuarantined(guilty))
 		// It counts anew.
-		l.Broke(Report{Digest: guilty, Target: "d", Early: true})
+		l.RecordExit(Report{Digest: guilty, Target: "d", Early: true})
 		settle(time.Second)
-		is.True(!l.Held(guilty))
+		is.True(!l.IsQuarantined(guilty))
 	})
 }
 
--- a/router/quarantine/judge.go
+++ b/router/quarantine/judge.go
@@ -29,7 +29,7 @@
 	defer g.judged(d)
 	_, place := g.peers.CountingHosts(d)
 	wait.For(ctx, time.Duration(place)*placeWait)
-	if g.Held(d) || g.IsCleared(d) {
+	if g.IsQuarantined(d) || g.IsCleared(d) {
 		return
 	}
 	if g.peers.Cleared(ctx, d) {
@@ -83,12 +83,12 @@
 	for _, old := range dropped {
 		g.opts.Go("quarantine record", func() { g.write(old.Digest, eventlog.Record{Key: old.key()}) })
 	}
-	g.peers.Tell(ctx, Notice{Entry: e})
+	g.peers.Broadcast(ctx, Notice{Entry: e})
 }
 
 // write puts a record into the topic, again until it is there or has become wrong.
 func (g *Guard) write(d Digest, rec eventlog.Record) {
-	for g.Held(d) == (len(rec.Value) > 0) {
+	for g.IsQuarantined(d) == (len(rec.Value) > 0) {
 		ctx, cancel := context.WithTimeout(context.Background(), judgeTimeout)
 		err := g.opts.Write(ctx, rec)
 		cancel()
@@ -129,7 +129,7 @@
 	g.opts.Go("quarantine", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), judgeTimeout)
 		defer cancel()
-		g.peers.Tell(ctx, Notice{Entry: e, Lifted: true})
+		g.peers.Broadcast(ctx, Notice{Entry: e, Lifted: true})
 	})
 }
 
