--- a/router/node/quarantine.go
+++ b/router/node/quarantine.go
@@ -35,7 +35,7 @@
 // hostsChanged takes over what the hosts' topic tells.
 func (n *Node) hostsChanged(changes []replica.Change) {
 	n.fleet.HandleChanges(changes)
-	n.guard.Changed(changes)
+	n.guard.ApplyChanges(changes)
 	n.limitNotices.changed(changes)
 }
 
--- a/router/quarantine/fleet_test.go
+++ b/router/quarantine/fleet_test.go
@@ -196,7 +196,7 @@
 			h.read = len(h.fleet.records)
 		}
 		h.fleet.mu.Unlock()
-		h.guard.Changed(changes)
+		h.guard.ApplyChanges(changes)
 		time.Sleep(simLogPace)
 	}
 }
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -183,9 +183,9 @@
 	}
 }
 
-// Changed takes in records of the topic where entries last. One without a value lifts the
+// ApplyChanges takes in records of the topic where entries last. One without a value lifts the
 // quarantine: an operator's, or a host's.
-func (g *Guard) Changed(changes []replica.Change) {
+func (g *Guard) ApplyChanges(changes []replica.Change) {
 	for _, c := range changes {
 		text, ok := strings.CutPrefix(c.Record.Key, KeyPrefix)
 		if !ok {
--- a/router/quarantine/guard_test.go
+++ b/router/quarantine/guard_test.go
@@ -84,7 +84,7 @@
 		is.Equal(l.records[0].Key, KeyPrefix+guilty.String())
 		// A host that reads the record holds it, too.
 		other := newLonely()
-		other.Changed([]replica.Change{{Record: l.records[0]}})
+		other.ApplyChanges([]replica.Change{{Record: l.records[0]}})
 		is.True(other.IsQuarantined(guilty))
 		is.Equal(len(other.Unpersisted()), 0)
 		is.Equal(len(l.Unpersisted()), 1) // it did not read its own record back yet
@@ -136,7 +136,7 @@
 		l := newLonely()
 		l.accuseOf(guilty)
 		is.True(l.IsQuarantined(guilty))
-		l.Changed([]replica.Change{{Record: eventlog.Record{Key: KeyPrefix + guilty.String()}}})
+		l.ApplyChanges([]replica.Change{{Record: eventlog.Record{Key: KeyPrefix + guilty.String()}}})
 		is.True(!l.IsQuarantined(guilty))
 		// It counts anew.
 		l.RecordExit(Report{Digest: guilty, Target: "d", Early: true})
@@ -154,7 +154,7 @@
 		{Key: key, Value: []byte("{")}, {Key: key, Value: []byte("7")}, {Key: key, Value: []byte("{}")},
 		{Key: key, Value: []byte(`{"digest":"` + digestOf(1).String() + `"}`)}, {Key: key, Value: []byte(`{"digest":5}`)},
 	} {
-		l.Changed([]replica.Change{{Record: rec}})
+		l.ApplyChanges([]replica.Change{{Record: rec}})
 	}
 	is.Equal(l.Len(), 0)
 }
