--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -49,7 +49,7 @@
 	}
 	b := c.brokeOff(time.Now())
 	look := make(chan bool, 1)
-	q.look, q.young = look, quarantine.EarlyCrash(b.SinceFirstEvent)
+	q.look, q.young = look, quarantine.IsEarlyExit(b.SinceFirstEvent)
 	h, t, report := q.handler, c.target, q.reportOf(b)
 	guard.Go("target's end", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), endLook)
@@ -78,7 +78,7 @@
 
 func (q *request) reportOf(b TargetExit) quarantine.Report {
 	r := quarantine.Report{
-		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Early: quarantine.EarlyCrash(b.SinceFirstEvent),
+		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Early: quarantine.IsEarlyExit(b.SinceFirstEvent),
 	}
 	if q.organisation != nil {
 		r.Organisation = q.organisation.Name
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -115,9 +115,9 @@
 	return g.tally.ends(d)
 }
 
-// EarlyCrash says whether a request that broke off so long after its first event, 0 before it,
+// IsEarlyExit says whether a request that broke off so long after its first event, 0 before it,
 // counts as just begun.
-func EarlyCrash(ran time.Duration) bool { return ran < youngRun }
+func IsEarlyExit(ran time.Duration) bool { return ran < youngRun }
 
 // RecordCompletion notes that a target ran a request to its end.
 func (g *Guard) RecordCompletion(d Digest) {
--- a/router/quarantine/tally_test.go
+++ b/router/quarantine/tally_test.go
@@ -109,7 +109,7 @@
 				continue
 			case r.target == ended:
 				broken++
-				s := tally.add(Report{Digest: r.digest, Target: fmt.Sprint(i), Early: EarlyCrash(now.Sub(r.began) - first)}, now)
+				s := tally.add(Report{Digest: r.digest, Target: fmt.Sprint(i), Early: IsEarlyExit(now.Sub(r.began) - first)}, now)
 				held[r.digest] = held[r.digest] || s.guilty()
 				if r.tries == mostTries {
 					continue
