--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -14,15 +14,15 @@
 	// Sent notes that a target of a version may have got a request.
 	Sent(a rollout.Request, version string)
 	// Ended notes how the request fared there.
-	Ended(a rollout.Request, version string, answer rollout.Answer)
+	Ended(a rollout.Request, version string, answer rollout.Outcome)
 }
 
 // anyVersion allows all versions.
 type anyVersion struct{}
 
-func (anyVersion) Rule(rollout.Request) rollout.Rule             { return rollout.Rule{} }
-func (anyVersion) Sent(rollout.Request, string)                  {}
-func (anyVersion) Ended(rollout.Request, string, rollout.Answer) {}
+func (anyVersion) Rule(rollout.Request) rollout.Rule              { return rollout.Rule{} }
+func (anyVersion) Sent(rollout.Request, string)                   {}
+func (anyVersion) Ended(rollout.Request, string, rollout.Outcome) {}
 
 // ask is what the request is to a rollout; first says that no target was tried before.
 func (q *request) ask(first bool) rollout.Request {
@@ -34,8 +34,8 @@
 
 // answer is what the try tells of the version of its target. The times of a cold target tell only
 // that it is cold.
-func (c *call) answer(res result, cold bool) rollout.Answer {
-	a := rollout.Answer{
+func (c *call) answer(res result, cold bool) rollout.Outcome {
+	a := rollout.Outcome{
 		Route: c.request.route.Name, Domain: c.target.Domain, Target: c.target.ID, NotSent: res == notSent,
 	}
 	switch res {
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -94,7 +94,7 @@
 func (r *rollouts) Sent(a rollout.Request, version string) { r.gate.RequestSent(a, version) }
 
 // Ended implements forward.Rollouts.
-func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Answer) {
+func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Outcome) {
 	r.gate.RequestEnded(a, version, answer)
 	if !answer.Inconclusive && r.gate.Undecided(a.Service) {
 		r.node.observer.Count(fmt.Sprintf("version_answers_total{service=%q,version=%q,failed=\"%t\"}", a.Service, version, answer.Failed))
--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Answer is how a request fared at a target, as far as it tells of the target's version.
-type Answer struct {
+// Outcome is how a request fared at a target, as far as it tells of the target's version.
+type Outcome struct {
 	Route         string
 	Domain        string // failure domain of the target
 	Target        string
@@ -103,7 +103,7 @@
 	return h
 }
 
-func (c *counts) note(a Answer) {
+func (c *counts) note(a Outcome) {
 	c.Answers++
 	if a.Failed {
 		c.Failed++
@@ -128,7 +128,7 @@
 }
 
 // cellOf is where an answer counts.
-func cellOf(a Answer) cell {
+func cellOf(a Outcome) cell {
 	c := cell{Route: a.Route, Domain: a.Domain}
 	if a.OnTrial {
 		c.Target = a.Target
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -263,7 +263,7 @@
 }
 
 // RequestEnded counts the end of a request that Sent counted, and what its answer tells.
-func (g *Gate) RequestEnded(a Request, version string, answer Answer) {
+func (g *Gate) RequestEnded(a Request, version string, answer Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.watched(a.Service)
--- a/router/rollout/sim_test.go
+++ b/router/rollout/sim_test.go
@@ -46,7 +46,7 @@
 	host   int
 	target *simTarget
 	ask    Request
-	answer Answer
+	answer Outcome
 }
 
 type simFleet struct {
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	a := Answer{Route: fmt.Sprint("r", route), Domain: t.domain, Target: t.id, Failed: failed, FirstByte: took}
+	a := Outcome{Route: fmt.Sprint("r", route), Domain: t.domain, Target: t.id, Failed: failed, FirstByte: took}
 	return simEnd{at: s.now.Add(took), host: host, target: t, ask: ask, answer: a}
 }
 
