--- a/router/keeper/keeper_test.go
+++ b/router/keeper/keeper_test.go
@@ -24,7 +24,7 @@
 
 // The larger an organisation's part is, the more keepers it has: at a fleet of 295 a
 // keeper bears the requests of some twelve hosts.
-func TestCountGrowsWithThePart(t *testing.T) {
+func TestCountGrowsWithShare(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Count(SmallFleet, 0.01), SmallFleet) // a small fleet: all
 	is.Equal(Count(SmallFleet+1, 0), 1)
@@ -36,7 +36,7 @@
 
 // All hosts name the same keepers, and no two begin with the same one more often than an
 // even share allows by much.
-func TestAllHostsAgree(t *testing.T) {
+func TestAllHostsAgreeOnKeepers(t *testing.T) {
 	is := is.New(t)
 	all := names(295)
 	const count = 5
@@ -61,7 +61,7 @@
 }
 
 // Where a keeper is gone, the first spare takes its place and the others keep theirs.
-func TestSpareTakesTheLostPlace(t *testing.T) {
+func TestFirstSpareReplacesLostKeeper(t *testing.T) {
 	is := is.New(t)
 	all := names(87)
 	before := first("org", all, 3)
@@ -70,7 +70,7 @@
 	is.Equal(after[2], first("org", all, 4)[3])
 }
 
-func TestFirstIsTheHeadOfTheRanking(t *testing.T) {
+func TestFirstMatchesFullRanking(t *testing.T) {
 	is := is.New(t)
 	all := names(100)
 	whole := rendezvous.Rank("org", all, func(n string) string { return n })
--- a/router/prepaid/account.go
+++ b/router/prepaid/account.go
@@ -1,9 +1,13 @@
-// Package prepaid keeps the prepaid budgets of organisations. A budget is an
-// account in a keyed partition of the shared log; its newest record says how many
-// tokens hosts have taken. A host takes a slice by a conditional append, so that
-// no two hosts take the same tokens, spends it without asking anybody, and gives
-// back what it does not need. Whatever a host held when it died counts as spent:
-// no clock decides anything.
+// Package prepaid keeps the prepaid token budgets of organisations within their limits.
+//
+// The log holds one account for each budget, in a keyed partition; the newest record of the key
+// says how many tokens hosts have been granted. A host obtains an allocation by a conditional
+// append, so no two hosts are granted the same tokens. It spends the allocation without any remote
+// call and returns what it does not need. Whatever a host held when it died counts as spent, so
+// correctness does not depend on clocks.
+//
+// On large fleets only a few hosts, the keepers of a budget, obtain allocations from the log; the
+// other hosts borrow tokens from them for each request. Package keeper chooses them.
 //
 // All amounts are tokens.
 package prepaid
@@ -16,33 +20,33 @@
 
 // Account is the newest record of a budget.
 type Account struct {
-	// Granted is what hosts have taken and not given back.
+	// Granted is the sum that hosts have taken and not returned.
 	Granted int64 `json:"granted"`
-	// Limit is the prepaid amount by configuration Version.
+	// Limit is the prepaid amount according to configuration Version.
 	Limit   int64 `json:"limit"`
 	Version int64 `json:"version"`
-	// Writer and Op name the append that wrote the record.
+	// Writer and Op identify the append that wrote the record.
 	Writer string `json:"writer"`
 	Op     int64  `json:"op"`
 }
 
-// Remaining is what can still be taken; negative once a limit was lowered.
+// Remaining is what hosts can still take; it is negative if the limit was lowered below Granted.
 func (a Account) Remaining() int64 { return a.Limit - a.Granted }
 
-// Encode gives the record's value.
+// Encode returns the record's value.
 func (a Account) Encode() []byte {
 	data, err := json.Marshal(a)
 	if err != nil {
-		panic("prepaid: an account can't be encoded: " + err.Error())
+		panic("prepaid: encoding an account: " + err.Error())
 	}
 	return data
 }
 
-// ErrNoAccount means that a document is no account: without writer and version it may be anything,
-// and an empty one would say that all tokens are there to be taken.
-var ErrNoAccount = errors.New("account: writer and version are missing, or what was granted is negative")
+// ErrNoAccount means that a document is not an account. Without writer and version it could be any
+// document, and an empty one would say that the whole budget is available.
+var ErrNoAccount = errors.New("account: writer and version are missing, or the granted amount is negative")
 
-// DecodeAccount reads what Encode wrote.
+// DecodeAccount parses the output of Encode.
 func DecodeAccount(data []byte) (Account, error) {
 	var a Account
 	if err := json.Unmarshal(data, &a); err != nil {
@@ -54,8 +58,8 @@
 	return a, nil
 }
 
-// WithLimit gives the account under the limit of a configuration, if that is newer
-// than the one it was written under.
+// WithLimit returns the account with the limit of a configuration if that is newer than the one the
+// account was written under.
 func (a Account) WithLimit(limit, version int64) Account {
 	if version > a.Version {
 		a.Limit, a.Version = limit, version
@@ -63,15 +67,15 @@
 	return a
 }
 
-// Change is what a host wants to do with an account.
+// Change is a host's request to change an account.
 type Change struct {
-	Take    int64 // wanted
-	MinTake int64 // below this, taking is of no use; at least 1 token is taken
+	Take    int64 // at most
+	MinTake int64 // a smaller grant is refused; at least 1 token is taken
 	Return  int64
 }
 
-// Apply works out the account after a change and what was taken. ok is false if
-// nothing comes of it.
+// Apply returns the account after a change and the number of tokens taken. ok is false if the
+// change has no effect.
 func (a Account) Apply(c Change) (next Account, taken int64, ok bool) {
 	next = a
 	if c.Return > 0 {
--- a/router/prepaid/account_test.go
+++ b/router/prepaid/account_test.go
@@ -36,35 +36,35 @@
 	}
 }
 
-// Where few hosts of many take slices, an idle one gives all back, and a busy one
-// may hold what all together may.
-func TestSlicesInALargeFleet(t *testing.T) {
+// Where few of many hosts obtain allocations, an idle one returns everything, and a busy one may
+// hold as much as all hosts together may.
+func TestAllocationSizeInLargeFleet(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	w := &wallet{limit: 1000000, version: 1, known: true, account: Account{Granted: 1000}, free: 1000}
-	is.Equal(w.change(DefaultSizing, 12, true, now), Change{Return: 1000})
-	w.note(10000, now)
-	c := w.change(DefaultSizing, 12, true, now)
-	is.True(c.Take > 20000) // seconds of its own demand, though an even share is less
+	al := &allocation{limit: 1000000, version: 1, known: true, account: Account{Granted: 1000}, free: 1000}
+	is.Equal(al.change(DefaultSizing, 12, true, now), Change{Return: 1000})
+	al.recordDemand(10000, now)
+	c := al.change(DefaultSizing, 12, true, now)
+	is.True(c.Take > 20000) // covers seconds of its own demand, more than an even share
 	is.True(c.Take <= int64(DefaultSizing.MostPart*1000000))
 }
 
-// Near a budget's end a hundredth of what is unspent is given back, since all hosts
-// together would else hold much of it, and lose it when all of them die.
-func TestSmallIdleSliceIsGivenBack(t *testing.T) {
+// Near a budget's end even a hundredth of the unspent tokens is returned: otherwise all hosts
+// together would hold much of the budget and lose it if all of them died.
+func TestIdleAllocationIsReturnedNearBudgetEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	w := &wallet{limit: 1000000, version: 1, known: true, account: Account{Granted: 910000}, free: 1000}
-	w.flow.add(0, now.Add(-10*time.Second))
-	w.flow.add(910000, now) // it lasts for a second
-	is.Equal(w.change(DefaultSizing, 6, false, now).Return, int64(818))
+	al := &allocation{limit: 1000000, version: 1, known: true, account: Account{Granted: 910000}, free: 1000}
+	al.drawRate.add(0, now.Add(-10*time.Second))
+	al.drawRate.add(910000, now) // the rest lasts one second
+	is.Equal(al.change(DefaultSizing, 6, false, now).Return, int64(818))
 }
 
-func TestNewerLimitCounts(t *testing.T) {
+func TestNewerLimitApplies(t *testing.T) {
 	is := is.New(t)
 	a := Account{Granted: 10, Limit: 100, Version: 5}
 	is.Equal(a.WithLimit(50, 6).Limit, int64(50))
-	is.Equal(a.WithLimit(500, 4).Limit, int64(100)) // an older configuration changes nothing
+	is.Equal(a.WithLimit(500, 4).Limit, int64(100)) // an older configuration has no effect
 	decoded, err := DecodeAccount(a.Encode())
 	is.NoErr(err)
 	is.Equal(decoded, a)
@@ -72,12 +72,12 @@
 	is.True(err != nil)
 }
 
-// Whatever the demand, a change never takes more than is left, and a host alone
-// does not hold more than its part when nobody waits.
+// Whatever the demand, a change never takes more than remains, and a single host does not exceed
+// its share while no request waits.
 func TestChangeIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
-		w := &wallet{
+		al := &allocation{
 			limit: rapid.Int64Range(0, 1e7).Draw(t, "limit"), version: 1, known: true,
 			account:  Account{Granted: rapid.Int64Range(0, 1e7).Draw(t, "granted")},
 			free:     rapid.Int64Range(0, 1e6).Draw(t, "free"),
@@ -85,23 +85,23 @@
 			demand:   rapid.Float64Range(0, 1e6).Draw(t, "demand"),
 			demandAt: now,
 		}
-		w.free = min(w.free, w.account.Granted)
+		al.free = min(al.free, al.account.Granted)
 		hosts := rapid.IntRange(1, 50).Draw(t, "hosts")
-		c := w.change(DefaultSizing, hosts, false, now)
-		if c.Return > w.free {
-			t.Fatalf("gives back %d of %d", c.Return, w.free)
+		c := al.change(DefaultSizing, hosts, false, now)
+		if c.Return > al.free {
+			t.Fatalf("returns %d of %d", c.Return, al.free)
 		}
 		if c.Take > 0 && c.Return > 0 {
-			t.Fatal("takes and gives back")
+			t.Fatal("takes and returns at once")
 		}
-		next, taken, ok := w.current().Apply(c)
-		if ok && taken > 0 && next.Granted > w.limit {
-			t.Fatalf("granted %d of %d", next.Granted, w.limit)
+		next, taken, ok := al.currentAccount().Apply(c)
+		if ok && taken > 0 && next.Granted > al.limit {
+			t.Fatalf("granted %d of %d", next.Granted, al.limit)
 		}
-		unspent := float64(max(w.current().Remaining(), 0) + w.free)
+		unspent := float64(max(al.currentAccount().Remaining(), 0) + al.free)
 		most := DefaultSizing.MostPart * DefaultSizing.MostShares * unspent / float64(hosts)
-		if len(w.waiting) == 0 && taken > 0 && float64(w.free+taken) > most+1 {
-			t.Fatalf("holds %d, at most %.0f", w.free+taken, most)
+		if len(al.waiting) == 0 && taken > 0 && float64(al.free+taken) > most+1 {
+			t.Fatalf("holds %d, at most %.0f", al.free+taken, most)
 		}
 	})
 }
--- a/router/prepaid/append.go
+++ b/router/prepaid/append.go
@@ -11,139 +11,139 @@
 	"maststage.dev/router/eventlog"
 )
 
-// append writes the orders. done is false if another host's append came first;
-// the accounts are then up to date again.
-func (c *clerk) append(ctx context.Context, orders []order) (done bool, err error) {
-	records := make([]eventlog.Record, len(orders))
-	for i, o := range orders {
-		records[i] = eventlog.Record{Key: o.organisation, Value: o.next.Encode()}
-	}
-	at := c.end
+// append writes the updates. done is false if another host's append came first; the accounts are
+// then up to date again.
+func (pw *partitionWriter) append(ctx context.Context, updates []accountUpdate) (done bool, err error) {
+	records := make([]eventlog.Record, len(updates))
+	for i, update := range updates {
+		records[i] = eventlog.Record{Key: update.organisation, Value: update.next.Encode()}
+	}
+	at := pw.end
 	unknown := false
 	for {
-		call, cancel := context.WithTimeout(ctx, c.treasury.opts.Timeout)
-		end, err := c.treasury.opts.Log.AppendAt(call, c.partition, at, records)
+		callCtx, cancel := context.WithTimeout(ctx, pw.allocator.opts.Timeout)
+		end, err := pw.allocator.opts.Log.AppendAt(callCtx, pw.partition, at, records)
 		cancel()
 		var conflict *eventlog.ConflictError
-		c.answeredAppend(err)
+		pw.recordAppendResult(err)
 		switch {
 		case err == nil:
-			c.called(CallTaken)
-			c.conflicts -= conflictWeight * c.conflicts
-			c.end = end
-			c.book(orders, at)
+			pw.countCall(CallTaken)
+			pw.conflictRate -= conflictWeight * pw.conflictRate
+			pw.end = end
+			pw.commit(updates, at)
 			return true, nil
 		case errors.As(err, &conflict):
-			c.called(CallConflict)
-			c.conflicts += conflictWeight * (1 - c.conflicts)
-			log.WithFields(log.Fields{"partition": c.partition.String(), "at": at, "end": conflict.End}).Debug("another host's append came first")
-			return c.afterConflict(ctx, orders, at, unknown)
+			pw.countCall(CallConflict)
+			pw.conflictRate += conflictWeight * (1 - pw.conflictRate)
+			log.WithFields(log.Fields{"partition": pw.partition.String(), "at": at, "end": conflict.End}).Debug("append conflicted with another host's")
+			return pw.resolveConflict(ctx, updates, at, unknown)
 		case errors.Is(err, eventlog.ErrRefused) && !unknown:
-			c.called(CallRefused)
-			c.undo(orders)
+			pw.countCall(CallRefused)
+			pw.rollBack(updates)
 			return false, err
 		default:
-			// It may have been done, or be done later as long as the partition
-			// ends at the same offset. Only a later end tells.
-			c.called(CallUnknown)
+			// The append may have been done, or may still be done as long as the partition ends at
+			// the same offset. Only a later end settles it.
+			pw.countCall(CallUnknown)
 			if !unknown {
-				log.WithFields(log.Fields{"partition": c.partition.String(), "at": at}).WithError(err).Warn("append without an answer")
+				log.WithFields(log.Fields{"partition": pw.partition.String(), "at": at}).WithError(err).Warn("append got no response; checking whether it was done")
 			}
 			unknown = unknown || !errors.Is(err, eventlog.ErrRefused)
 			if ctx.Err() != nil {
 				return false, ctx.Err()
 			}
-			wait.For(ctx, wait.Jitter(c.treasury.opts.RetryDelay))
-			if c.endMoved(ctx, at) {
-				return c.afterConflict(ctx, orders, at, unknown)
+			wait.For(ctx, wait.Jitter(pw.allocator.opts.RetryDelay))
+			if pw.endMoved(ctx, at) {
+				return pw.resolveConflict(ctx, updates, at, unknown)
 			}
 		}
 	}
 }
 
-// answeredAppend notes whether the log answered an append; a lost race is an answer.
-func (c *clerk) answeredAppend(err error) {
+// recordAppendResult records whether the log responded to an append; a conflict is a response.
+func (pw *partitionWriter) recordAppendResult(err error) {
 	var conflict *eventlog.ConflictError
 	if errors.As(err, &conflict) {
 		err = nil
 	}
-	c.answered(err)
+	pw.recordResult(err)
 }
 
-// endMoved asks whether the partition still ends at an offset; if it does not, or
-// its records are gone, the fate of an append there can be told.
-func (c *clerk) endMoved(ctx context.Context, at int64) bool {
-	call, cancel := context.WithTimeout(ctx, c.treasury.opts.Timeout)
+// endMoved reports whether the partition has grown beyond offset at, or its records there were
+// trimmed; then the outcome of an append at that offset can be determined.
+func (pw *partitionWriter) endMoved(ctx context.Context, at int64) bool {
+	callCtx, cancel := context.WithTimeout(ctx, pw.allocator.opts.Timeout)
 	defer cancel()
-	batch, err := c.treasury.opts.Log.Read(call, c.partition, at, 0)
+	batch, err := pw.allocator.opts.Log.Read(callCtx, pw.partition, at, 0)
 	return err == nil && len(batch.Records) > 0 || errors.Is(err, eventlog.ErrTrimmed)
 }
 
-func (c *clerk) called(outcome string) {
-	if c.treasury.opts.OnCall != nil {
-		c.treasury.opts.OnCall(outcome)
+func (pw *partitionWriter) countCall(outcome string) {
+	if pw.allocator.opts.OnCall != nil {
+		pw.allocator.opts.OnCall(outcome)
 	}
 }
 
-// afterConflict reads what others wrote and tells whether an earlier try of the
-// same append is among it.
-func (c *clerk) afterConflict(ctx context.Context, orders []order, at int64, unknown bool) (done bool, err error) {
+// resolveConflict reads what others wrote and determines whether an earlier attempt of the same
+// append is among it.
+func (pw *partitionWriter) resolveConflict(ctx context.Context, updates []accountUpdate, at int64, unknown bool) (done bool, err error) {
 	for {
-		mine, err := c.follow(ctx, orders, at)
+		own, err := pw.readNew(ctx, updates, at)
 		if err == nil {
-			if mine {
-				c.book(orders, at)
+			if own {
+				pw.commit(updates, at)
 				return true, nil
 			}
-			c.undo(orders)
+			pw.rollBack(updates)
 			return false, nil
 		}
 		if errors.Is(err, eventlog.ErrTrimmed) {
-			return c.afterTrim(ctx, orders, unknown)
+			return pw.afterTrim(ctx, updates, unknown)
 		}
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
-		wait.For(ctx, wait.Jitter(c.treasury.opts.RetryDelay))
+		wait.For(ctx, wait.Jitter(pw.allocator.opts.RetryDelay))
 	}
 }
 
-// afterTrim handles records that are gone before they were read. Whether an
-// append without an answer is among them can't be told: what it took is lost.
-func (c *clerk) afterTrim(ctx context.Context, orders []order, unknown bool) (done bool, err error) {
+// afterTrim handles records that were trimmed before they were read. Whether an append without a
+// response is among them can't be determined, so the tokens it took are lost.
+func (pw *partitionWriter) afterTrim(ctx context.Context, updates []accountUpdate, unknown bool) (done bool, err error) {
 	if !unknown {
-		c.undo(orders)
+		pw.rollBack(updates)
 	}
-	c.loaded = false
-	return false, c.load(ctx)
+	pw.loaded = false
+	return false, pw.load(ctx)
 }
 
-// follow reads the partition from its known end on. mine says that the record at
-// the offset at is one of the orders.
-func (c *clerk) follow(ctx context.Context, orders []order, at int64) (mine bool, err error) {
-	call, cancel := context.WithTimeout(ctx, c.treasury.opts.Timeout)
+// readNew reads the partition from its known end on. own says that the record at offset at is one
+// of the updates.
+func (pw *partitionWriter) readNew(ctx context.Context, updates []accountUpdate, at int64) (own bool, err error) {
+	callCtx, cancel := context.WithTimeout(ctx, pw.allocator.opts.Timeout)
 	defer cancel()
-	batch, err := c.treasury.opts.Log.Read(call, c.partition, c.end, 0)
-	c.answered(err)
+	batch, err := pw.allocator.opts.Log.Read(callCtx, pw.partition, pw.end, 0)
+	pw.recordResult(err)
 	if err != nil {
 		return false, err
 	}
-	for _, rec := range batch.Records {
-		account, err := DecodeAccount(rec.Value)
+	for _, record := range batch.Records {
+		account, err := DecodeAccount(record.Value)
 		if err != nil {
-			log.WithField("key", rec.Key).WithError(err).Error("account can't be read")
+			log.WithField("key", record.Key).WithError(err).Error("ignoring an account record that can't be decoded")
 			continue
 		}
-		if rec.Offset == at && len(orders) > 0 && account.Writer == c.treasury.opts.Host && account.Op == orders[0].next.Op {
-			mine = true
+		if record.Offset == at && len(updates) > 0 && account.Writer == pw.allocator.opts.Host && account.Op == updates[0].next.Op {
+			own = true
 		}
-		c.see(rec.Key, account, rec.Offset)
+		pw.applyRecord(record.Key, account, record.Offset)
 	}
-	c.end = max(c.end, lastOffset(batch)+1)
-	return mine, nil
+	pw.end = max(pw.end, lastOffset(batch)+1)
+	return own, nil
 }
 
-// lastOffset is the offset of the last record, or that before the end.
+// lastOffset is the offset of the last record of a batch, or the one before the end if it is empty.
 func lastOffset(b eventlog.Batch) int64 {
 	if n := len(b.Records); n > 0 {
 		return b.Records[n-1].Offset
@@ -151,102 +151,102 @@
 	return b.End - 1
 }
 
-// load reads the newest records of the partition.
-func (c *clerk) load(ctx context.Context) error {
+// load reads the newest record of each key of the partition.
+func (pw *partitionWriter) load(ctx context.Context) error {
 	after := ""
 	end := int64(-1)
 	for {
-		call, cancel := context.WithTimeout(ctx, c.treasury.opts.Timeout)
-		page, err := c.treasury.opts.Log.Newest(call, c.partition, after)
+		callCtx, cancel := context.WithTimeout(ctx, pw.allocator.opts.Timeout)
+		page, err := pw.allocator.opts.Log.Newest(callCtx, pw.partition, after)
 		cancel()
-		c.answered(err)
+		pw.recordResult(err)
 		if err != nil {
 			return err
 		}
 		if end < 0 {
 			end = page.End
 		}
-		for _, rec := range page.Records {
-			account, err := DecodeAccount(rec.Value)
+		for _, record := range page.Records {
+			account, err := DecodeAccount(record.Value)
 			if err != nil {
-				log.WithField("key", rec.Key).WithError(err).Error("account can't be read; nothing is taken from it")
-				c.lock(rec.Key, rec.Offset)
+				log.WithField("key", record.Key).WithError(err).Error("account record can't be decoded; no tokens are taken from the account")
+				pw.markUnreadable(record.Key, record.Offset)
 				continue
 			}
-			c.see(rec.Key, account, rec.Offset)
+			pw.applyRecord(record.Key, account, record.Offset)
 		}
 		if !page.More || len(page.Records) == 0 {
 			break
 		}
 		after = page.Records[len(page.Records)-1].Key
 	}
-	c.end, c.loaded = end, true
+	pw.end, pw.loaded = end, true
 	return nil
 }
 
-// lock notes that the newest record of an account can't be read. What was granted before is
-// not known then, so nothing may be taken until a host that knows writes the account again.
-func (c *clerk) lock(organisation string, offset int64) {
-	t := c.treasury
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil {
-		w = &wallet{}
-		t.wallets[organisation] = w
+// markUnreadable records that the newest record of an account can't be decoded. The granted amount
+// is then unknown, so nothing may be taken until a host that knows it writes the account again.
+func (pw *partitionWriter) markUnreadable(organisation string, offset int64) {
+	a := pw.allocator
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil {
+		al = &allocation{}
+		a.allocations[organisation] = al
 	}
-	if !w.known || offset > w.offset {
-		w.unreadable = true
+	if !al.known || offset > al.offset {
+		al.unreadable = true
 	}
 }
 
-// see takes in a record of an account.
-func (c *clerk) see(organisation string, a Account, offset int64) {
-	t := c.treasury
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil {
-		w = &wallet{limit: a.Limit}
-		t.wallets[organisation] = w
-	}
-	if w.known && offset <= w.offset {
+// applyRecord applies a record of an account.
+func (pw *partitionWriter) applyRecord(organisation string, account Account, offset int64) {
+	a := pw.allocator
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil {
+		al = &allocation{limit: account.Limit}
+		a.allocations[organisation] = al
+	}
+	if al.known && offset <= al.offset {
 		return
 	}
-	w.account, w.known, w.offset, w.unreadable = a, true, offset, false
-	w.noteFlow(time.Now())
-	t.wake()
+	al.account, al.known, al.offset, al.unreadable = account, true, offset, false
+	al.recordDrawn(time.Now())
+	a.notifyWaiters()
 }
 
-// book credits the tokens of orders that are in the log.
-func (c *clerk) book(orders []order, at int64) {
-	t := c.treasury
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for i, o := range orders {
-		w := t.wallets[o.organisation]
-		w.free += o.taken
-		w.flows.Taken += o.taken
-		if offset := at + int64(i); !w.known || offset > w.offset {
-			w.account, w.known, w.offset = o.next, true, offset
-			w.noteFlow(time.Now())
+// commit credits the tokens of updates that are in the log.
+func (pw *partitionWriter) commit(updates []accountUpdate, at int64) {
+	a := pw.allocator
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i, update := range updates {
+		al := a.allocations[update.organisation]
+		al.free += update.taken
+		al.totals.Taken += update.taken
+		if offset := at + int64(i); !al.known || offset > al.offset {
+			al.account, al.known, al.offset = update.next, true, offset
+			al.recordDrawn(time.Now())
 		}
 		log.WithFields(log.Fields{
-			"organisation": o.organisation, "taken": o.taken, "returned": o.given, "granted": o.next.Granted,
-			"limit": o.next.Limit, "version": o.next.Version, "offset": at + int64(i), "free": w.free,
-		}).Debug("slice changed")
+			"organisation": update.organisation, "taken": update.taken, "returned": update.returned, "granted": update.next.Granted,
+			"limit": update.next.Limit, "version": update.next.Version, "offset": at + int64(i), "free": al.free,
+		}).Debug("allocation changed")
 	}
-	t.wake()
+	a.notifyWaiters()
 }
 
-// undo takes back the debits of orders that are not in the log and never will be.
-func (c *clerk) undo(orders []order) {
-	t := c.treasury
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, o := range orders {
-		w := t.wallets[o.organisation]
-		w.free += o.given
-		w.flows.Returned -= o.given
+// rollBack reverses the debits of updates that are not in the log and never will be.
+func (pw *partitionWriter) rollBack(updates []accountUpdate) {
+	a := pw.allocator
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, update := range updates {
+		al := a.allocations[update.organisation]
+		al.free += update.returned
+		al.totals.Returned -= update.returned
 	}
 }
--- a/router/prepaid/append_test.go
+++ b/router/prepaid/append_test.go
@@ -12,18 +12,18 @@
 	"maststage.dev/standin/until"
 )
 
-// Answers of the log that are lost, or whose effect comes late, change nothing.
-func TestUncertainAppends(t *testing.T) {
+// Lost responses of the log and appends that take effect late must not lead to overspending.
+func TestUncertainAppendsDoNotOverspend(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{
-		"answer lost": {Lose: true}, "done late": {Late: 60 * time.Millisecond}, "refused": {Refuse: true},
+		"response lost": {Lose: true}, "done late": {Late: 60 * time.Millisecond}, "refused": {Refuse: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHosts(t, 2)
+			h := newHostGroup(t, 2)
 			a, _ := h.start("a", nil)
 			b, _ := h.start("b", nil)
-			for _, tr := range []*Allocator{a, b} {
-				tr.Configure(1, []Budget{{"org", 1000}}, true)
+			for _, alloc := range []*Allocator{a, b} {
+				alloc.Configure(1, []Budget{{"org", 1000}}, true)
 			}
 			spent := spend(a, "org", 10, 10) + spend(b, "org", 10, 10)
 			h.log.SetFault("a", fault)
@@ -41,15 +41,15 @@
 	}
 }
 
-// Records that are gone before an append's fate is known: what it took is lost,
-// never counted twice.
-func TestTrimmedBeforeRead(t *testing.T) {
+// Records are trimmed before the outcome of an append is known. The tokens it took are lost, never
+// counted twice.
+func TestTrimmedAppendIsNotCountedTwice(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 2)
+	h := newHostGroup(t, 2)
 	a, _ := h.start("a", nil)
 	b, _ := h.start("b", nil)
-	for _, tr := range []*Allocator{a, b} {
-		tr.Configure(1, []Budget{{"org", 1000}}, true)
+	for _, alloc := range []*Allocator{a, b} {
+		alloc.Configure(1, []Budget{{"org", 1000}}, true)
 	}
 	spent := int64(0)
 	for range 10 {
@@ -67,39 +67,39 @@
 	is.True(spent <= 1000)
 }
 
-// Tokens that were given back by an append without an answer are not credited again,
-// though the records that would tell are gone.
-func TestUnansweredReturnThatWasTrimmed(t *testing.T) {
+// Tokens returned by an append without a response are not credited again, although the records that
+// would show its outcome were trimmed.
+func TestTrimmedReturnIsNotCreditedAgain(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	forgetful := &forgetfulLog{Log: l.Host("a"), log: l}
-	tr := New(Options{
-		Log: forgetful, Topic: "b", Partitions: 1, Host: "a", Sizing: DefaultSizing, RetryDelay: time.Nanosecond,
+	dropping := &droppingLog{Log: l.Host("a"), log: l}
+	alloc := New(Options{
+		Log: dropping, Topic: "b", Partitions: 1, Host: "a", Sizing: DefaultSizing, RetryDelay: time.Nanosecond,
 		Timeout: time.Second, Hosts: func() int { return 1 },
 	})
-	tr.Configure(1, []Budget{{"org", 1000}}, true)
-	is.NoErr(tr.clerks[0].round(context.Background()))
-	held, _ := tr.Holding("org")
+	alloc.Configure(1, []Budget{{"org", 1000}}, true)
+	is.NoErr(alloc.writers[0].round(context.Background()))
+	held, _ := alloc.Holding("org")
 	is.True(held.Free > 0)
 
-	forgetful.forgets = true
-	tr.closing = true // all is given back
-	is.NoErr(tr.clerks[0].round(context.Background()))
-	held, _ = tr.Holding("org")
+	dropping.drops = true
+	alloc.closing = true // everything is returned
+	is.NoErr(alloc.writers[0].round(context.Background()))
+	held, _ = alloc.Holding("org")
 	is.Equal(held.Granted, int64(0))
 	is.Equal(held.Free, int64(0))
 }
 
-// forgetfulLog does appends, answers none and drops their records.
-type forgetfulLog struct {
+// droppingLog does appends, then trims their records and returns no response.
+type droppingLog struct {
 	eventlog.Log
-	log     *memlog.Log
-	forgets bool
+	log   *memlog.Log
+	drops bool
 }
 
-func (f *forgetfulLog) AppendAt(ctx context.Context, p eventlog.Partition, at int64, records []eventlog.Record) (int64, error) {
+func (f *droppingLog) AppendAt(ctx context.Context, p eventlog.Partition, at int64, records []eventlog.Record) (int64, error) {
 	end, err := f.Log.AppendAt(ctx, p, at, records)
-	if !f.forgets || err != nil {
+	if !f.drops || err != nil {
 		return end, err
 	}
 	f.log.Trim(p)
--- a/router/prepaid/fuzz_test.go
+++ b/router/prepaid/fuzz_test.go
@@ -12,24 +12,24 @@
 	"maststage.dev/standin/memlog"
 )
 
-// model drives treasuries step by step, without their goroutines, and counts what
-// they spend. One oracle holds throughout: what was spent or may still be spent
-// under the present limit never passes the highest limit so far, and once a limit
-// was lowered and every host knows it, nothing more is spent above it.
+// model drives Allocators step by step, without their goroutines, and counts what they spend. One
+// invariant holds throughout: what was spent or may still be spent under the current limit never
+// exceeds the highest limit so far, and once a limit was lowered and every host knows it, nothing
+// more is spent above it.
 type model struct {
-	log      *memlog.Log
-	hosts    []*Allocator
-	open     map[*Allocator][]*Reservation
-	starts   int
-	limit    int64
-	version  int64
-	highest  int64
-	spent    int64 // settled
-	reserved int64 // may still be spent
-	dead     int64 // reserved by hosts that were killed: counts as spent
-	loans    int
-	lost     []lostLoan
-	keepers  int // hosts that hold tokens for all; 0: each takes its own slices
+	log              *memlog.Log
+	hosts            []*Allocator
+	openReservations map[*Allocator][]*Reservation
+	starts           int
+	limit            int64
+	version          int64
+	highest          int64
+	spent            int64 // settled
+	reserved         int64 // may still be spent
+	killed           int64 // reserved by killed hosts: counts as spent
+	loans            int
+	lostLoans        []lostLoan
+	keepers          int // hosts that hold tokens for all; 0: each host obtains its own
 }
 
 const fuzzHosts = 3
@@ -45,38 +45,38 @@
 	if m.keepers > 0 {
 		opts.Keepers = func(string) (int, bool) { return m.keepers, i < m.keepers }
 	}
-	tr := New(opts)
-	tr.Configure(m.version, []Budget{{"org", m.limit}}, true)
-	m.hosts[i] = tr
+	alloc := New(opts)
+	alloc.Configure(m.version, []Budget{{"org", m.limit}}, true)
+	m.hosts[i] = alloc
 }
 
-// round lets a host deal with its accounts; it may be cut short.
+// round runs one round of a host's partition writer, bounded by limit.
 func (m *model) round(i int, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	_ = m.hosts[i].clerks[0].round(ctx)
+	_ = m.hosts[i].writers[0].round(ctx)
 }
 
 func (m *model) check(t *rapid.T) {
-	total := m.spent + m.reserved + m.dead
+	total := m.spent + m.reserved + m.killed
 	if total > m.highest {
-		t.Fatalf("spent %d, reserved %d, dead %d; the limit was never above %d", m.spent, m.reserved, m.dead, m.highest)
+		t.Fatalf("spent %d, reserved %d, reserved by killed hosts %d; the limit was never above %d", m.spent, m.reserved, m.killed, m.highest)
 	}
-	m.checkFlows(t)
+	m.checkTotals(t)
 }
 
-// checkFlows: each host's flows balance to the token.
-func (m *model) checkFlows(t *rapid.T) {
-	for i, tr := range m.hosts {
-		if h, _ := tr.Holding("org"); h.Totals.Balance() != h.Free+h.Reserved {
-			t.Fatalf("host %d: flows %+v leave %d, free %d, reserved %d", i, h.Totals, h.Totals.Balance(), h.Free, h.Reserved)
+// checkTotals checks that each host's totals balance exactly.
+func (m *model) checkTotals(t *rapid.T) {
+	for i, alloc := range m.hosts {
+		if h, _ := alloc.Holding("org"); h.Totals.Balance() != h.Free+h.Reserved {
+			t.Fatalf("host %d: totals %+v give %d, free %d, reserved %d", i, h.Totals, h.Totals.Balance(), h.Free, h.Reserved)
 		}
 	}
 }
 
 func TestNeverOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{log: memlog.New(), hosts: make([]*Allocator, fuzzHosts), open: map[*Allocator][]*Reservation{}}
+		m := &model{log: memlog.New(), hosts: make([]*Allocator, fuzzHosts), openReservations: map[*Allocator][]*Reservation{}}
 		m.limit = rapid.Int64Range(10, 2000).Draw(t, "limit")
 		m.highest, m.version = m.limit, 1
 		m.keepers = rapid.IntRange(0, fuzzHosts-1).Draw(t, "keepers")
@@ -111,42 +111,42 @@
 	})
 }
 
-// cutShort lets a host's append be done without its answer, and then gives up
-// before it can find out.
+// cutShort lets a host's append be done without a response, and ends the round before the host can
+// find out.
 func (m *model) cutShort(i int) {
 	name := fmt.Sprintf("h%d", i)
 	m.log.SetFault(name, memlog.Fault{Lose: true})
 	ctx, cancel := context.WithCancel(context.Background())
-	tr := m.hosts[i]
-	tr.opts.OnCall = func(string) { cancel() }
-	_ = tr.clerks[0].round(ctx)
-	tr.opts.OnCall = nil
+	alloc := m.hosts[i]
+	alloc.opts.OnCall = func(string) { cancel() }
+	_ = alloc.writers[0].round(ctx)
+	alloc.opts.OnCall = nil
 	cancel()
 	m.log.SetFault(name, memlog.Fault{})
 }
 
 func (m *model) reserve(i int, tokens int64) {
-	tr := m.hosts[i]
-	r, err := tr.try("org", tokens)
+	alloc := m.hosts[i]
+	r, err := alloc.tryReserve("org", tokens)
 	if err == nil && r == nil {
-		// It waits for one round.
-		tr.wait("org", tokens)
+		// Wait for one round.
+		alloc.addWaiter("org", tokens)
 		m.round(i, time.Second)
-		tr.stopWaiting("org", tokens)
-		r, _ = tr.try("org", tokens)
+		alloc.removeWaiter("org", tokens)
+		r, _ = alloc.tryReserve("org", tokens)
 	}
-	m.note(tr, r)
+	m.note(alloc, r)
 }
 
-// note counts a reservation, if it is one.
-func (m *model) note(tr *Allocator, r *Reservation) {
+// note counts a reservation unless it is nil.
+func (m *model) note(alloc *Allocator, r *Reservation) {
 	if r != nil {
-		m.open[tr] = append(m.open[tr], r)
+		m.openReservations[alloc] = append(m.openReservations[alloc], r)
 		m.reserved += r.Tokens()
 	}
 }
 
-// exhaust reserves what is left of the budget, as far as hosts get at it.
+// exhaust reserves the rest of the budget, as far as hosts can obtain it.
 func (m *model) exhaust() {
 	for tokens := m.limit; tokens > 0; tokens /= 2 {
 		for i := range m.hosts {
@@ -160,20 +160,20 @@
 
 // drain reserves all that a host may spend without the log.
 func (m *model) drain(i int) {
-	tr := m.hosts[i]
-	held, _ := tr.Holding("org")
-	r, _ := tr.try("org", max(held.Free, 1))
-	m.note(tr, r)
+	alloc := m.hosts[i]
+	held, _ := alloc.Holding("org")
+	r, _ := alloc.tryReserve("org", max(held.Free, 1))
+	m.note(alloc, r)
 }
 
 func (m *model) settle(t *rapid.T, i int) {
-	tr := m.hosts[i]
-	list := m.open[tr]
+	alloc := m.hosts[i]
+	list := m.openReservations[alloc]
 	if len(list) == 0 {
 		return
 	}
 	r := list[0]
-	m.open[tr] = list[1:]
+	m.openReservations[alloc] = list[1:]
 	used := rapid.Int64Range(0, r.Tokens()).Draw(t, "used")
 	m.reserved -= r.Tokens()
 	m.spent += used
@@ -181,27 +181,27 @@
 }
 
 func (m *model) kill(i int) {
-	tr := m.hosts[i]
-	for _, r := range m.open[tr] {
+	alloc := m.hosts[i]
+	for _, r := range m.openReservations[alloc] {
 		m.reserved -= r.Tokens()
-		m.dead += r.Tokens()
+		m.killed += r.Tokens()
 	}
-	delete(m.open, tr)
+	delete(m.openReservations, alloc)
 	m.start(i)
 }
 
-// stop is a planned stop: all is settled and given back.
+// stop is a planned stop: everything is settled and returned.
 func (m *model) stop(i int) {
-	tr := m.hosts[i]
-	for _, r := range m.open[tr] {
+	alloc := m.hosts[i]
+	for _, r := range m.openReservations[alloc] {
 		m.reserved -= r.Tokens()
 		m.spent += r.Tokens()
 		r.Settle(r.Tokens())
 	}
-	delete(m.open, tr)
+	delete(m.openReservations, alloc)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = tr.Close(ctx)
+	_ = alloc.Close(ctx)
 	m.start(i)
 }
 
@@ -209,37 +209,37 @@
 	if from == to {
 		return
 	}
-	wanted := rapid.Int64Range(1, 200).Draw(t, "wanted")
+	requested := rapid.Int64Range(1, 200).Draw(t, "wanted")
 	keeper := rapid.Bool().Draw(t, "keeper")
 	m.loans++
 	id := fmt.Sprint(m.loans)
 	lender := m.hosts[from]
 	partly := rapid.Bool().Draw(t, "partly")
-	lent := lender.lendFree(LoanRequest{ID: id, Organisation: "org", Tokens: wanted, AllowPartial: partly}, keeper)
-	if r, _ := lender.try("org", wanted); keeper && lent == 0 && r != nil {
-		lent = lender.lendReserved(id, r) // as a keeper does that waited
+	lent := lender.lendFree(LoanRequest{ID: id, Organisation: "org", Tokens: requested, AllowPartial: partly}, keeper)
+	if r, _ := lender.tryReserve("org", requested); keeper && lent == 0 && r != nil {
+		lent = lender.lendReserved(id, r) // as a keeper that waited does
 	} else {
 		m.note(lender, r)
 	}
 	if lent > 0 && rapid.Bool().Draw(t, "arrives") {
-		m.hosts[to].credit("org", lent)
+		m.hosts[to].creditBorrowed("org", lent)
 		return
 	}
-	m.lost = append(m.lost, lostLoan{lender: from, id: id})
+	m.lostLoans = append(m.lostLoans, lostLoan{lender: from, id: id})
 }
 
-// lostLoan is a loan that its borrower got no answer to.
+// lostLoan is a loan whose borrower got no response.
 type lostLoan struct {
-	lender int // may have been started again since
+	lender int // may have restarted since
 	id     string
 }
 
-// recall recalls one of the lost loans, some of them more than once.
+// recall recalls one of the lost loans; some are recalled more than once.
 func (m *model) recall(t *rapid.T) {
-	if len(m.lost) == 0 {
+	if len(m.lostLoans) == 0 {
 		return
 	}
-	loan := rapid.SampledFrom(m.lost).Draw(t, "loan")
+	loan := rapid.SampledFrom(m.lostLoans).Draw(t, "loan")
 	m.hosts[loan.lender].Recall(loan.id)
 }
 
@@ -257,15 +257,15 @@
 	m.version++
 	m.limit = limit
 	m.highest = max(m.highest, limit)
-	for _, tr := range m.hosts {
-		tr.Configure(m.version, []Budget{{"org", limit}}, false)
+	for _, alloc := range m.hosts {
+		alloc.Configure(m.version, []Budget{{"org", limit}}, false)
 	}
 }
 
-// lower lowers the limit everywhere; from then on no host may reserve more than
-// leaves the total within it.
+// lower lowers the limit everywhere. From then on no host may reserve more than keeps the total
+// within it.
 func (m *model) lower(t *rapid.T) {
-	total := m.spent + m.reserved + m.dead
+	total := m.spent + m.reserved + m.killed
 	m.setLimit(rapid.Int64Range(0, m.limit).Draw(t, "lower"))
 	m.highest = max(m.limit, total)
 }
--- a/router/prepaid/history.go
+++ b/router/prepaid/history.go
@@ -9,129 +9,130 @@
 	"maststage.dev/lib/wait"
 )
 
-// A host that missed versions of the configuration does not know whether a budget was
-// lowered in them, so it spends none of a budget whose limit changed until it has seen the
-// account under the newest version. While it can't reach the log that may take long, though
-// nearly all changes raise a limit. Other hosts that saw every version tell it which
-// budgets were lowered; what was not is spent on.
+// A host that missed configuration versions does not know whether one of them lowered a budget. It
+// therefore spends none of a budget that may have been lowered until it has seen the account under
+// the newest version, which can take long while the log is unavailable, although nearly all changes
+// raise a limit. Hosts that saw every version report which budgets were lowered; the others are
+// spent on.
 //
-// Without that, a host to which most callers of a large organisation came refused 1,175
-// requests in 10 s with a tenth of the budget in its hands, and those that borrow from
-// others refused likewise: 0.01 to 0.02 of a day's worth on days on which the log turns a
-// third of the hosts away.
+// Without that report, a host that served most callers of a large organisation denied 1,175
+// requests in 10 s while it held a tenth of the budget, and hosts that borrow from others denied
+// requests likewise: 0.01 to 0.02 of a day's worth on days when the log refuses a third of the
+// hosts.
 
-// LimitHistory is what a host knows of the limits of budgets over some versions.
+// LimitHistory is what a host knows about changes of limits over a range of versions.
 type LimitHistory struct {
-	Since, UpTo int64 // it saw each version between them
-	// Lowered is the newest version that lowered the limit of an organisation; those whose
-	// limit was never lowered are left out.
+	Since, UpTo int64 // every version in this range was seen
+	// Lowered is the newest version that lowered an organisation's limit; organisations whose limit
+	// was never lowered are left out.
 	Lowered map[string]int64
 }
 
-// gap is versions that this host did not see.
-type gap struct {
-	after int64 // the last version before them
-	until int64 // the first version behind them; 0: there is no gap
+// versionGap is a range of versions that this host did not see.
+type versionGap struct {
+	after int64 // last version seen before the gap
+	until int64 // first version seen after it; 0: no gap
 }
 
-// noteVersion takes a version into the history; missed says that versions before it may
-// have been skipped. The lock is held.
-func (t *Allocator) noteVersion(version int64, missed bool) {
+// recordVersion adds a version to the history; missed says that versions before it may have been
+// skipped. The lock is held.
+func (a *Allocator) recordVersion(version int64, missed bool) {
 	switch {
-	case t.history.UpTo == 0:
-		t.history.Since = version
-	case missed && t.gap.until == 0:
-		t.gap = gap{after: t.history.UpTo, until: version}
+	case a.history.UpTo == 0:
+		a.history.Since = version
+	case missed && a.gap.until == 0:
+		a.gap = versionGap{after: a.history.UpTo, until: version}
 	case missed:
-		t.gap.until = version
+		a.gap.until = version
 	}
-	t.history.UpTo = version
+	a.history.UpTo = version
 }
 
-// noteLowered notes that a version lowered a limit; the lock is held.
-func (t *Allocator) noteLowered(organisation string, version int64) {
-	t.history.Lowered[organisation] = max(t.history.Lowered[organisation], version)
+// recordLowered records that a version lowered a limit. The lock is held.
+func (a *Allocator) recordLowered(organisation string, version int64) {
+	a.history.Lowered[organisation] = max(a.history.Lowered[organisation], version)
 }
 
-// History is what this host can tell others: what it saw since its last gap.
-func (t *Allocator) History() LimitHistory {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	h := LimitHistory{Since: max(t.history.Since, t.gap.until), UpTo: t.history.UpTo, Lowered: map[string]int64{}}
-	for organisation, version := range t.history.Lowered {
+// History returns what this host can report to others: what it saw since its last gap.
+func (a *Allocator) History() LimitHistory {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	h := LimitHistory{Since: max(a.history.Since, a.gap.until), UpTo: a.history.UpTo, Lowered: map[string]int64{}}
+	for organisation, version := range a.history.Lowered {
 		h.Lowered[organisation] = version
 	}
 	return h
 }
 
-// missed says which versions this host did not see and can't spend budgets for.
-func (t *Allocator) missed() (g gap, waits bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.gap.until == 0 {
-		return t.gap, false
+// unresolvedGap returns the versions that this host did not see; blocking says that they keep it
+// from spending a budget.
+func (a *Allocator) unresolvedGap() (g versionGap, blocking bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.gap.until == 0 {
+		return a.gap, false
 	}
-	for _, w := range t.wallets {
-		if w.unseen > 0 && w.account.Version < w.verify {
-			return t.gap, true
+	for _, al := range a.allocations {
+		if al.requiredBeforeGap > 0 && al.account.Version < al.requiredVersion {
+			return a.gap, true
 		}
 	}
-	return t.gap, false
+	return a.gap, false
 }
 
-// learn takes in what another host saw, and says whether that fills this host's gap.
-func (t *Allocator) learn(h LimitHistory) (filled bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.gap.until == 0 || h.Since > t.gap.after || h.UpTo < t.gap.until {
+// mergeHistory adds what another host saw and reports whether that fills this host's gap.
+func (a *Allocator) mergeHistory(h LimitHistory) (filled bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.gap.until == 0 || h.Since > a.gap.after || h.UpTo < a.gap.until {
 		return false
 	}
-	freed := 0
-	for organisation, w := range t.wallets {
+	unblocked := 0
+	for organisation, al := range a.allocations {
 		lowered := h.Lowered[organisation]
 		if lowered > 0 {
-			t.noteLowered(organisation, lowered)
+			a.recordLowered(organisation, lowered)
 		}
-		if w.unseen == 0 {
+		if al.requiredBeforeGap == 0 {
 			continue
 		}
-		if lowered <= t.gap.after {
-			w.verify = w.unseen - 1
-			freed++
+		if lowered <= a.gap.after {
+			al.requiredVersion = al.requiredBeforeGap - 1
+			unblocked++
 		}
-		w.unseen = 0
+		al.requiredBeforeGap = 0
 	}
-	log.WithFields(log.Fields{"after": t.gap.after, "until": t.gap.until, "budgets": freed}).Info("another host saw the missed versions: budgets not lowered are spent on")
-	t.gap = gap{}
-	t.wake()
+	log.WithFields(log.Fields{"after": a.gap.after, "until": a.gap.until, "budgets": unblocked}).Info("missed versions learned from another host; spending resumes on budgets that were not lowered")
+	a.gap = versionGap{}
+	a.notifyWaiters()
 	return true
 }
 
-// Pauses between two hosts that are asked what they saw. A call takes a few ms, and budgets
-// are refused meanwhile; where all hosts missed the same versions, as after the log forgot
-// its history, none can tell and the accounts themselves will.
+// Backoff between two hosts that are asked for their history. A call takes a few ms, and requests
+// are denied meanwhile. If all hosts missed the same versions, as after the log lost its history,
+// no host can tell and the accounts themselves decide.
 const (
-	historyPause     = 50 * time.Millisecond // before the second host; it doubles each time
-	mostHistoryPause = 800 * time.Millisecond
+	minHistoryBackoff = 50 * time.Millisecond // before the second host; doubles each time
+	maxHistoryBackoff = 800 * time.Millisecond
 )
 
 // fillGaps asks other hosts for missed versions until ctx ends.
-func (t *Allocator) fillGaps(ctx context.Context) {
-	if t.opts.FetchHistory == nil {
+func (a *Allocator) fillGaps(ctx context.Context) {
+	if a.opts.FetchHistory == nil {
 		return
 	}
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.gapped:
+		case <-a.gapFound:
 		}
-		for pause := historyPause; ctx.Err() == nil; pause = min(2*pause, mostHistoryPause) {
-			g, waits := t.missed()
-			if !waits {
+		for pause := minHistoryBackoff; ctx.Err() == nil; pause = min(2*pause, maxHistoryBackoff) {
+			g, blocking := a.unresolvedGap()
+			if !blocking {
 				break
 			}
-			if h, ok := t.opts.FetchHistory(ctx, g.after); ok && t.learn(h) {
+			if h, ok := a.opts.FetchHistory(ctx, g.after); ok && a.mergeHistory(h) {
 				break
 			}
 			wait.For(ctx, wait.Jitter(pause))
--- a/router/prepaid/history_test.go
+++ b/router/prepaid/history_test.go
@@ -11,65 +11,65 @@
 	"pgregory.net/rapid"
 )
 
-// holder is a treasury that holds tokens and can't reach the log.
-func holder(limit int64) (*Allocator, *wallet) {
-	tr := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
-	tr.Configure(1, []Budget{{"org", limit}}, true)
-	w := tr.wallets["org"]
-	w.account, w.known, w.free = Account{Granted: 500, Limit: limit, Version: 1}, true, 500
-	return tr, w
+// disconnectedAllocator returns an Allocator that holds tokens and can't reach the log.
+func disconnectedAllocator(limit int64) (*Allocator, *allocation) {
+	alloc := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
+	alloc.Configure(1, []Budget{{"org", limit}}, true)
+	al := alloc.allocations["org"]
+	al.account, al.known, al.free = Account{Granted: 500, Limit: limit, Version: 1}, true, 500
+	return alloc, al
 }
 
-// A host that missed versions spends on what it holds once another host that saw them tells
-// that the budget was not lowered.
-func TestMissedVersionsThatRaisedABudget(t *testing.T) {
+// A host that missed versions goes on spending what it holds once another host that saw them
+// reports that the budget was not lowered.
+func TestMissedRaiseDoesNotBlockSpending(t *testing.T) {
 	is := is.New(t)
-	tr, _ := holder(1000)
-	tr.Configure(5, []Budget{{"org", 1500}}, true)
-	got, err := tr.try("org", 10)
+	alloc, _ := disconnectedAllocator(1000)
+	alloc.Configure(5, []Budget{{"org", 1500}}, true)
+	got, err := alloc.tryReserve("org", 10)
 	is.NoErr(err)
-	is.Equal(got, nil) // it might have been 3000 in between
-	_, waits := tr.missed()
+	is.Equal(got, nil) // the limit may have been 3000 in between
+	_, waits := alloc.unresolvedGap()
 	is.True(waits)
 
 	other := New(Options{Partitions: 1})
 	other.Configure(1, []Budget{{"org", 1000}}, true)
 	other.Configure(3, []Budget{{"org", 1200}}, false)
-	is.True(!tr.learn(other.History())) // it has not seen the newest itself
+	is.True(!alloc.mergeHistory(other.History())) // it has not seen the newest version itself
 	other.Configure(5, []Budget{{"org", 1500}}, false)
-	is.True(tr.learn(other.History()))
-	got, err = tr.try("org", 10)
+	is.True(alloc.mergeHistory(other.History()))
+	got, err = alloc.tryReserve("org", 10)
 	is.NoErr(err)
 	is.True(got != nil)
-	_, waits = tr.missed()
+	_, waits = alloc.unresolvedGap()
 	is.True(!waits)
-	is.Equal(tr.History().Since, int64(1)) // and it can tell others in turn
+	is.Equal(alloc.History().Since, int64(1)) // it can now report these versions itself
 }
 
-func TestMissedVersionsThatLoweredABudget(t *testing.T) {
+func TestMissedLoweringBlocksSpending(t *testing.T) {
 	is := is.New(t)
-	tr, _ := holder(1000)
-	tr.Configure(5, []Budget{{"org", 1500}}, true)
+	alloc, _ := disconnectedAllocator(1000)
+	alloc.Configure(5, []Budget{{"org", 1500}}, true)
 	other := New(Options{Partitions: 1})
 	other.Configure(1, []Budget{{"org", 1000}}, true)
 	other.Configure(3, []Budget{{"org", 3000}}, false)
 	other.Configure(5, []Budget{{"org", 1500}}, false)
-	is.True(tr.learn(other.History()))
-	got, err := tr.try("org", 10)
+	is.True(alloc.mergeHistory(other.History()))
+	got, err := alloc.tryReserve("org", 10)
 	is.NoErr(err)
 	is.Equal(got, nil)
-	is.Equal(tr.wallets["org"].verify, int64(5))
+	is.Equal(alloc.allocations["org"].requiredVersion, int64(5))
 }
 
-// A host misses two versions: the first doubles a budget, the second sets it back. Others took
-// tokens under the first, so that together hosts may hold more than the limit, and the account
-// tells. This host sees the same limit before and after, took it for unchanged, and went on to
-// spend what it held: its 500 beside up to 1,000 that others had spent already.
-func TestMissedVersionsThatRaisedABudgetAndSetItBack(t *testing.T) {
+// A host misses two versions: one doubles a budget, the next reverts it. Hosts took tokens under
+// the first, so together they may hold more than the limit, and only the account shows that. The
+// host sees the same limit before and after; taking it for unchanged, it would spend its 500 beside
+// up to 1,000 that others had spent already.
+func TestMissedRaiseAndRevertBlocksSpending(t *testing.T) {
 	is := is.New(t)
-	tr, _ := holder(1000)
-	tr.Configure(5, []Budget{{"org", 1000}}, true)
-	got, err := tr.try("org", 10)
+	alloc, _ := disconnectedAllocator(1000)
+	alloc.Configure(5, []Budget{{"org", 1000}}, true)
+	got, err := alloc.tryReserve("org", 10)
 	is.NoErr(err)
 	is.Equal(got, nil)
 
@@ -77,34 +77,34 @@
 	other.Configure(1, []Budget{{"org", 1000}}, true)
 	other.Configure(3, []Budget{{"org", 2000}}, false)
 	other.Configure(5, []Budget{{"org", 1000}}, false)
-	is.True(tr.learn(other.History()))
-	got, err = tr.try("org", 10)
+	is.True(alloc.mergeHistory(other.History()))
+	got, err = alloc.tryReserve("org", 10)
 	is.NoErr(err)
 	is.Equal(got, nil) // not before it has seen the account
 }
 
-// A host that missed versions itself can't vouch for them.
-func TestGapsAreNotPassedOn(t *testing.T) {
+// A host that missed versions itself can't report them.
+func TestHostWithGapCannotReportHistory(t *testing.T) {
 	is := is.New(t)
-	tr, _ := holder(1000)
-	tr.Configure(5, []Budget{{"org", 1500}}, true)
-	other, _ := holder(1000)
+	alloc, _ := disconnectedAllocator(1000)
+	alloc.Configure(5, []Budget{{"org", 1500}}, true)
+	other, _ := disconnectedAllocator(1000)
 	other.Configure(5, []Budget{{"org", 1500}}, true)
-	is.True(!tr.learn(other.History()))
+	is.True(!alloc.mergeHistory(other.History()))
 	late := New(Options{Partitions: 1})
 	late.Configure(5, []Budget{{"org", 1500}}, true)
-	is.True(!tr.learn(late.History()))
+	is.True(!alloc.mergeHistory(late.History()))
 }
 
-// It asks others by itself, until one can tell.
-func TestMissedVersionsAreAskedFor(t *testing.T) {
+// A host asks others about missed versions until one of them knows.
+func TestMissedVersionsAreFetchedUntilKnown(t *testing.T) {
 	is := is.New(t)
 	var asked atomic.Int64
-	tr, _ := holder(1000)
-	tr.opts.FetchHistory = func(context.Context, int64) (LimitHistory, bool) {
+	alloc, _ := disconnectedAllocator(1000)
+	alloc.opts.FetchHistory = func(context.Context, int64) (LimitHistory, bool) {
 		switch asked.Add(1) {
 		case 1:
-			return LimitHistory{}, false // silent
+			return LimitHistory{}, false // no response
 		case 2:
 			return LimitHistory{Since: 4, UpTo: 5}, true
 		}
@@ -112,37 +112,37 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go tr.fillGaps(ctx)
-	tr.Configure(5, []Budget{{"org", 1500}}, true)
+	go alloc.fillGaps(ctx)
+	alloc.Configure(5, []Budget{{"org", 1500}}, true)
 	for range 100 {
-		if got, _ := tr.try("org", 10); got != nil {
+		if got, _ := alloc.tryReserve("org", 10); got != nil {
 			is.Equal(asked.Load(), int64(3))
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("still not spent")
+	t.Fatal("spending has not resumed")
 }
 
-// fleetOfLimits is hosts that see versions of one budget, each its own part of them.
-type fleetOfLimits struct {
+// limitFleet is a group of hosts that each see some of the versions of one budget.
+type limitFleet struct {
 	limits []int64 // by version, from 1
 	hosts  []*Allocator
-	seen   [][]int64 // the limits up to each host's version, read or missed
+	seen   [][]int64 // limits up to each host's version, read or missed
 }
 
-func newFleetOfLimits(hosts int) *fleetOfLimits {
-	f := &fleetOfLimits{limits: []int64{1000}}
+func newLimitFleet(hosts int) *limitFleet {
+	f := &limitFleet{limits: []int64{1000}}
 	for range hosts {
-		tr, _ := holder(f.limits[0])
-		f.hosts = append(f.hosts, tr)
+		alloc, _ := disconnectedAllocator(f.limits[0])
+		f.hosts = append(f.hosts, alloc)
 		f.seen = append(f.seen, []int64{f.limits[0]})
 	}
 	return f
 }
 
-// read gives a host the next version, or the newest one without those between.
-func (f *fleetOfLimits) read(host int, newest bool) {
+// read gives a host the next version, or only the newest one.
+func (f *limitFleet) read(host int, newest bool) {
 	seen := f.seen[host]
 	if len(seen) == len(f.limits) {
 		return
@@ -155,34 +155,34 @@
 	f.hosts[host].Configure(int64(next+1), []Budget{{"org", f.limits[next]}}, newest)
 }
 
-// unsafe says whether hosts together may hold more than a host's newest limit: there was a
-// higher one since its account was seen, under version 1.
-func (f *fleetOfLimits) unsafe(host int) bool {
+// mayOverspend reports whether hosts together may hold more than a host's newest limit: the limit
+// was higher at some time since the host saw the account, under version 1.
+func (f *limitFleet) mayOverspend(host int) bool {
 	seen := f.seen[host]
 	return slices.Max(seen) > seen[len(seen)-1]
 }
 
-// Whatever versions hosts miss and tell each other, none spends a budget of which others may
+// Whichever versions hosts miss and report to each other, none spends a budget of which others may
 // hold more than its limit allows.
-func TestLoweredBudgetsAreNeverSpentUnseen(t *testing.T) {
+func TestLoweredBudgetIsNotSpentBeforeAccountIsSeen(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const hosts = 3
-		f := newFleetOfLimits(hosts)
+		f := newLimitFleet(hosts)
 		for range rapid.IntRange(10, 60).Draw(rt, "steps") {
 			host := rapid.IntRange(0, hosts-1).Draw(rt, "host")
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
 				f.limits = append(f.limits, rapid.Int64Range(600, 2000).Draw(rt, "limit"))
-				f.read(0, false) // it misses nothing by itself
+				f.read(0, false) // host 0 misses no version in this step
 			case 1:
 				f.read(host, false)
 			case 2:
 				f.read(host, true)
 			case 3:
 				other := rapid.IntRange(0, hosts-1).Draw(rt, "other")
-				f.hosts[host].learn(f.hosts[other].History())
+				f.hosts[host].mergeHistory(f.hosts[other].History())
 			}
-			if f.unsafe(host) && f.hosts[host].wallets["org"].spendable() {
+			if f.mayOverspend(host) && f.hosts[host].allocations["org"].spendable() {
 				rt.Fatalf("host %d spends, limits %v, seen %v", host, f.limits, f.seen[host])
 			}
 		}
--- a/router/prepaid/loans.go
+++ b/router/prepaid/loans.go
@@ -6,278 +6,280 @@
 	"time"
 )
 
-// LoanRequest is what a host asks of another.
+// LoanRequest asks another host for a loan.
 type LoanRequest struct {
-	// ID is unique among all loans. With it the borrower may recall a loan that it
-	// got no answer to; empty: it can't.
+	// ID is unique among all loans. The borrower uses it to recall a loan that it got no response
+	// to; if it is empty, the loan can't be recalled.
 	ID           string
 	Organisation string
-	Tokens       int64 // needed
-	// Cost is that of the request that the loan is for; 0: not known, it never gives way.
+	Tokens       int64 // number of tokens needed
+	// Cost is the cost of the request that the loan is for; 0: unknown, and the request is never
+	// shed.
 	Cost float64
-	// FreeOnly asks for what the host has; else it takes a slice for the loan if need be,
-	// and is a keeper of the budget from then on.
+	// FreeOnly asks only for tokens that the host already holds. Otherwise it obtains an allocation
+	// for the loan if needed, and acts as a keeper of the budget from then on.
 	FreeOnly bool
-	// AllowPartial takes less than what is needed too: others lend the rest.
+	// AllowPartial accepts fewer tokens than needed, since other hosts lend the rest.
 	AllowPartial bool
 }
 
 // Loan is what other hosts lent.
 type Loan struct {
 	Tokens int64
-	// Authoritative means that a keeper answered for the whole budget: if it lent too little,
-	// the log has no more either, and only what hosts hold is left.
+	// Authoritative means that a keeper answered for the whole budget: if it lent too little, the
+	// log has no more either, and only tokens held by hosts are left.
 	Authoritative bool
-	// Free is what the lender could still lend, where it lent too little.
+	// Free is how much the lender could still lend, if it lent too little.
 	Free int64
-	// Shed means that a keeper keeps the last tokens for smaller requests; nobody else needs
-	// to be asked.
+	// Shed means that a keeper reserves the last tokens for requests of lower cost; no other host
+	// needs to be asked.
 	Shed bool
 }
 
-// Figures of loans.
+// Parameters of loans and transfers.
 const (
-	borrowWait  = 150 * time.Millisecond // bounds the requests to other hosts
-	borrowPause = 250 * time.Millisecond // hosts are not asked again for as much after they had too little
-	lendPart    = 0.9                    // of the free tokens that a host holds for itself, lent at most at once
-	lendWait    = 60 * time.Millisecond  // a keeper waits so long for the log and other keepers
-	keeperTime  = 5 * time.Second        // a host that was asked for a loan is a keeper for so long
-	handOvers   = 16                     // budgets handed over at a time; each may wait for a silent host
-	idleTime    = 3 * time.Second        // without a request, after which tokens are given back
+	borrowTimeout        = 150 * time.Millisecond // bounds the calls to other hosts for one loan
+	borrowBackoff        = 250 * time.Millisecond // before hosts that had too little are asked for as much again
+	lendShare            = 0.9                    // of a non-keeper's free tokens, lent at most at once
+	lendTimeout          = 60 * time.Millisecond  // how long a keeper waits for the log and other keepers
+	keeperPeriod         = 5 * time.Second        // how long a host that was asked for a loan acts as a keeper
+	maxParallelTransfers = 16                     // each may wait for a silent host
+	idlePeriod           = 3 * time.Second        // without a request, after which tokens are returned or transferred
 )
 
-// keeps says how many hosts take slices of a budget and whether this one does: as a
-// keeper, because others took it for one, or because its own demand is worth it. The lock
-// is held.
-func (t *Allocator) keeps(organisation string, w *wallet) (count int, self bool) {
-	if t.opts.Keepers == nil {
-		return max(t.opts.Hosts(), 1), true
+// keepers returns how many hosts obtain allocations of a budget and whether this one does: as a
+// keeper, because others treated it as one, or because its own demand justifies it. The lock is
+// held.
+func (a *Allocator) keepers(organisation string, al *allocation) (count int, self bool) {
+	if a.opts.Keepers == nil {
+		return max(a.opts.Hosts(), 1), true
 	}
-	count, self = t.opts.Keepers(organisation)
+	count, self = a.opts.Keepers(organisation)
 	now := time.Now()
-	return count, self || now.Sub(w.asked) < keeperTime || w.busy(now)
+	return count, self || now.Sub(al.keeperAskedAt) < keeperPeriod || al.busy(now)
 }
 
-// sparse says whether few of many hosts take slices of a budget; the lock is held.
-func (t *Allocator) sparse(count int) bool { return count < t.opts.Hosts() }
+// fewKeepers reports whether few of many hosts obtain allocations of a budget. The lock is held.
+func (a *Allocator) fewKeepers(count int) bool { return count < a.opts.Hosts() }
 
-// keeper says whether this host takes slices of a budget.
-func (t *Allocator) keeper(organisation string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil {
+// isKeeper reports whether this host obtains allocations of a budget.
+func (a *Allocator) isKeeper(organisation string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil {
 		return false
 	}
-	_, self := t.keeps(organisation, w)
+	_, self := a.keepers(organisation, al)
 	return self
 }
 
-// borrow asks other hosts for what the wallet lacks.
-func (t *Allocator) borrow(q Request) (got *Reservation, answered bool, err error) {
+// borrow asks other hosts for the tokens that the allocation lacks.
+func (a *Allocator) borrow(q Request) (got *Reservation, authoritative bool, err error) {
 	organisation, tokens := q.Organisation, q.Tokens
-	if t.opts.Borrow == nil {
+	if a.opts.Borrow == nil {
 		return nil, false, nil
 	}
-	missing, refused := t.missing(organisation, tokens, time.Now())
-	if missing == 0 || refused {
-		return nil, refused, nil
+	shortfall, recentlyDenied := a.shortfall(organisation, tokens, time.Now())
+	if shortfall == 0 || recentlyDenied {
+		return nil, recentlyDenied, nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), borrowWait)
+	ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
 	defer cancel()
-	loan := t.opts.Borrow(ctx, organisation, missing, q.cost())
-	t.takeLoan(organisation, missing, loan)
+	loan := a.opts.Borrow(ctx, organisation, shortfall, q.cost())
+	a.acceptLoan(organisation, shortfall, loan)
 	if loan.Shed {
 		return nil, true, ErrShed
 	}
-	got, err = t.try(organisation, tokens)
+	got, err = a.tryReserve(organisation, tokens)
 	return got, loan.Authoritative, err
 }
 
-// missing is what the wallet lacks for a request. Nothing is borrowed beyond it: what a host
-// holds that is no keeper is out of others' reach. refused says that other hosts had too
-// little for as much a moment ago.
-func (t *Allocator) missing(organisation string, tokens int64, now time.Time) (missing int64, refused bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil || !w.spendable() {
+// shortfall is how many tokens the allocation lacks for a request. No more than that is borrowed,
+// since others can't reach what a non-keeper holds. recentlyDenied says that other hosts had too
+// few tokens for as much a moment ago.
+func (a *Allocator) shortfall(organisation string, tokens int64, now time.Time) (shortfall int64, recentlyDenied bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil || !al.spendable() {
 		return 0, false
 	}
-	missing = max(tokens-w.free, 0)
-	if !t.hasRoom(organisation, w, tokens) {
-		missing = max(w.room(now)-w.free, missing)
+	shortfall = max(tokens-al.free, 0)
+	if !a.leavesHeadroom(organisation, al, tokens) {
+		shortfall = max(al.headroom(now)-al.free, shortfall)
 	}
-	return missing, now.Sub(w.refused) < borrowPause && missing >= w.refusedFor
+	return shortfall, now.Sub(al.borrowDeniedAt) < borrowBackoff && shortfall >= al.borrowDeniedTokens
 }
 
-// takeLoan takes in a loan.
-func (t *Allocator) takeLoan(organisation string, wanted int64, loan Loan) {
+// acceptLoan credits a loan and records if it was too small.
+func (a *Allocator) acceptLoan(organisation string, wanted int64, loan Loan) {
 	if loan.Tokens > 0 {
-		t.credit(organisation, loan.Tokens)
+		a.creditBorrowed(organisation, loan.Tokens)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil {
 		return
 	}
 	if loan.Tokens < wanted && loan.Authoritative {
-		w.refused, w.refusedFor = time.Now(), wanted-loan.Tokens
+		al.borrowDeniedAt, al.borrowDeniedTokens = time.Now(), wanted-loan.Tokens
 	}
 }
 
-// Lend takes tokens out of this host's slice for another host, up to those needed. A keeper
-// waits a moment for a slice. What is lent is gone from here, whether or not the
-// other host gets it, unless it recalls the loan.
-func (t *Allocator) Lend(ctx context.Context, ask LoanRequest) Loan {
-	loan := t.lend(ctx, ask)
-	if loan.Tokens < ask.Tokens {
-		loan.Free = t.lendable(ask.Organisation)
+// Lend takes tokens out of this host's allocation for another host, at most as many as it needs. A
+// keeper waits briefly for an allocation. The tokens are debited here whether or not the other host
+// gets them, unless it recalls the loan.
+func (a *Allocator) Lend(ctx context.Context, request LoanRequest) Loan {
+	loan := a.lend(ctx, request)
+	if loan.Tokens < request.Tokens {
+		loan.Free = a.lendable(request.Organisation)
 	}
 	return loan
 }
 
-func (t *Allocator) lend(ctx context.Context, ask LoanRequest) Loan {
-	keeper := t.takeOver(ask)
+func (a *Allocator) lend(ctx context.Context, request LoanRequest) Loan {
+	keeper := a.noteKeeperRequest(request)
 	if ctx.Err() != nil {
 		return Loan{}
 	}
-	if keeper && t.shed(ask.Organisation, ask.Cost, ask.Tokens) {
+	if keeper && a.shouldShed(request.Organisation, request.Cost, request.Tokens) {
 		return Loan{Authoritative: true, Shed: true}
 	}
-	if lent := t.lendFree(ask, keeper); lent >= ask.Tokens || !keeper || ask.FreeOnly {
+	if lent := a.lendFree(request, keeper); lent >= request.Tokens || !keeper || request.FreeOnly {
 		return Loan{Tokens: lent, Authoritative: keeper}
 	}
-	ctx, cancel := context.WithTimeout(ctx, lendWait)
+	ctx, cancel := context.WithTimeout(ctx, lendTimeout)
 	defer cancel()
-	got, err := t.reserveOwn(ctx, ask.Organisation, ask.Tokens, lendWait)
+	got, err := a.reserveFromLog(ctx, request.Organisation, request.Tokens, lendTimeout)
 	if errors.Is(err, ErrExhausted) {
-		got = t.gather(ctx, ask)
+		got = a.borrowFromKeepers(ctx, request)
 	}
 	if got == nil {
-		// Only a budget that has no more is a no for all: where this host can't reach the
+		// Only an exhausted account is a denial for the whole budget: if this host can't reach the
 		// log, another one may.
-		return Loan{Authoritative: t.exhausted(ask.Organisation, ask.Tokens)}
+		return Loan{Authoritative: a.exhausted(request.Organisation, request.Tokens)}
 	}
-	return Loan{Tokens: t.lendReserved(ask.ID, got), Authoritative: true}
+	return Loan{Tokens: a.lendReserved(request.ID, got), Authoritative: true}
 }
 
-// gather gets what a loan lacks from other keepers, for a keeper that ran dry: the host that
-// asked does not ask all of them. nil: they have too little.
-func (t *Allocator) gather(ctx context.Context, ask LoanRequest) *Reservation {
-	if t.opts.BorrowFromKeepers == nil || ctx.Err() != nil {
+// borrowFromKeepers obtains what a loan lacks from other keepers when this one ran dry, since the
+// borrower does not ask all keepers. It returns nil if they have too little.
+func (a *Allocator) borrowFromKeepers(ctx context.Context, request LoanRequest) *Reservation {
+	if a.opts.BorrowFromKeepers == nil || ctx.Err() != nil {
 		return nil
 	}
-	missing, refused := t.missing(ask.Organisation, ask.Tokens, time.Now())
-	if refused {
+	shortfall, recentlyDenied := a.shortfall(request.Organisation, request.Tokens, time.Now())
+	if recentlyDenied {
 		return nil
 	}
-	if missing > 0 {
-		loan := t.opts.BorrowFromKeepers(ctx, ask.Organisation, missing)
-		t.takeLoan(ask.Organisation, missing, loan)
+	if shortfall > 0 {
+		loan := a.opts.BorrowFromKeepers(ctx, request.Organisation, shortfall)
+		a.acceptLoan(request.Organisation, shortfall, loan)
 	}
-	got, _ := t.try(ask.Organisation, ask.Tokens)
+	got, _ := a.tryReserve(request.Organisation, request.Tokens)
 	return got
 }
 
-// lendable is what this host could lend at once.
-func (t *Allocator) lendable(organisation string) int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil || t.closing || !w.spendable() {
+// lendable is how many tokens this host could lend at once.
+func (a *Allocator) lendable(organisation string) int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil || a.closing || !al.spendable() {
 		return 0
 	}
-	return w.spare()
+	return al.lendableTokens()
 }
 
-// takeOver notes that another host takes this one for a keeper, and says whether it is one.
-func (t *Allocator) takeOver(ask LoanRequest) (keeper bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[ask.Organisation]
-	if w == nil || t.closing {
+// noteKeeperRequest records that another host treats this one as a keeper, and reports whether it
+// is one.
+func (a *Allocator) noteKeeperRequest(request LoanRequest) (keeper bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[request.Organisation]
+	if al == nil || a.closing {
 		return false
 	}
-	if !ask.FreeOnly {
-		w.asked = time.Now()
+	if !request.FreeOnly {
+		al.keeperAskedAt = time.Now()
 	}
-	_, keeper = t.keeps(ask.Organisation, w)
+	_, keeper = a.keepers(request.Organisation, al)
 	return keeper
 }
 
-// lendFree lends of what is free. A keeper lends all that is asked for or nothing,
-// since it may wait for more.
-func (t *Allocator) lendFree(ask LoanRequest, keeper bool) int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[ask.Organisation]
-	if w == nil || ask.Tokens <= 0 || t.closing || !w.spendable() || t.loans.recalled(ask.ID) {
+// lendFree lends free tokens. A keeper lends all that is requested or nothing, since it may wait
+// for more.
+func (a *Allocator) lendFree(request LoanRequest, keeper bool) int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[request.Organisation]
+	if al == nil || request.Tokens <= 0 || a.closing || !al.spendable() || a.loans.recalled(request.ID) {
 		return 0
 	}
-	count, _ := t.keeps(ask.Organisation, w)
-	if len(w.waiting) > 0 && !t.sparse(count) {
+	count, _ := a.keepers(request.Organisation, al)
+	if len(al.waiting) > 0 && !a.fewKeepers(count) {
 		return 0
 	}
-	spare := w.spare()
-	lent := min(ask.Tokens, spare)
-	if keeper && !ask.AllowPartial && (lent < ask.Tokens || !t.hasRoom(ask.Organisation, w, ask.Tokens)) {
-		w.turned.note(ask.Tokens, time.Now())
+	lendable := al.lendableTokens()
+	lent := min(request.Tokens, lendable)
+	if keeper && !request.AllowPartial && (lent < request.Tokens || !a.leavesHeadroom(request.Organisation, al, request.Tokens)) {
+		al.denied.record(request.Tokens, time.Now())
 		return 0
 	}
 	if keeper {
-		w.noteLoan(lent, ask.Tokens, time.Now())
+		al.recordLoanDemand(lent, request.Tokens, time.Now())
 	}
-	w.free -= lent
-	w.flows.Lent += lent
-	t.loans.lent(ask.ID, ask.Organisation, lent)
-	t.refillSoon(ask.Organisation, w)
+	al.free -= lent
+	al.totals.Lent += lent
+	a.loans.add(request.ID, request.Organisation, lent)
+	a.refillIfLow(request.Organisation, al)
 	return lent
 }
 
 // lendReserved turns a reservation into a loan.
-func (t *Allocator) lendReserved(id string, r *Reservation) int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[r.organisation]
-	if w == nil || r.settled {
+func (a *Allocator) lendReserved(id string, r *Reservation) int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[r.organisation]
+	if al == nil || r.settled {
 		return 0
 	}
 	r.settled = true
-	w.reserved -= r.tokens
-	if t.loans.recalled(id) {
-		w.free += r.tokens
-		t.wake()
+	al.reserved -= r.tokens
+	if a.loans.recalled(id) {
+		al.free += r.tokens
+		a.notifyWaiters()
 		return 0
 	}
-	w.flows.Lent += r.tokens
-	t.loans.lent(id, r.organisation, r.tokens)
+	al.totals.Lent += r.tokens
+	a.loans.add(id, r.organisation, r.tokens)
 	return r.tokens
 }
 
-// Recall takes back a loan whose borrower got no answer and never uses it. It may
-// come before the request for the loan, which then lends nothing, and more than once.
-func (t *Allocator) Recall(id string) (tokens int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	loan := t.loans.recall(id)
-	w := t.wallets[loan.organisation]
-	if w == nil {
+// Recall takes back a loan whose borrower got no response and does not use it. It may arrive before
+// the request for the loan, which then lends nothing, and more than once.
+func (a *Allocator) Recall(id string) (tokens int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	loan := a.loans.recall(id)
+	al := a.allocations[loan.organisation]
+	if al == nil {
 		return 0
 	}
-	w.free += loan.tokens
-	w.flows.Recalled += loan.tokens
-	t.wake()
+	al.free += loan.tokens
+	al.totals.Recalled += loan.tokens
+	a.notifyWaiters()
 	return loan.tokens
 }
 
-func (t *Allocator) credit(organisation string, tokens int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if w := t.wallets[organisation]; w != nil {
-		w.free += tokens
-		w.flows.Borrowed += tokens
-		t.wake()
+func (a *Allocator) creditBorrowed(organisation string, tokens int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if al := a.allocations[organisation]; al != nil {
+		al.free += tokens
+		al.totals.Borrowed += tokens
+		a.notifyWaiters()
 	}
 }
--- a/router/prepaid/loans_test.go
+++ b/router/prepaid/loans_test.go
@@ -14,15 +14,15 @@
 	"maststage.dev/standin/until"
 )
 
-func TestLoan(t *testing.T) {
+func TestLoanWhileLogRefuses(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 2)
+	h := newHostGroup(t, 2)
 	a, _ := h.start("a", nil)
 	b, _ := h.start("b", func(ctx context.Context, organisation string, n int64, _ float64) Loan {
 		return a.Lend(ctx, LoanRequest{Organisation: organisation, Tokens: n})
 	})
-	for _, tr := range []*Allocator{a, b} {
-		tr.Configure(1, []Budget{{"org", 1000}}, true)
+	for _, alloc := range []*Allocator{a, b} {
+		alloc.Configure(1, []Budget{{"org", 1000}}, true)
 	}
 	r, err := a.Reserve(context.Background(), "org", 500) // a takes most of what b left
 	is.NoErr(err)
@@ -36,11 +36,11 @@
 	is.Equal(a.Lend(context.Background(), LoanRequest{Organisation: "nobody", Tokens: 10}).Tokens, int64(0))
 }
 
-// A loan whose answer was lost goes back once, whether its recall comes before the
-// request, after it, or twice.
-func TestRecalledLoan(t *testing.T) {
+// A loan whose response was lost is credited once, whether its recall arrives before the request,
+// after it, or twice.
+func TestRecalledLoanIsCreditedOnce(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 1)
+	h := newHostGroup(t, 1)
 	a, _ := h.start("a", nil)
 	a.Configure(1, []Budget{{"org", 1000}}, true)
 	r, err := a.Reserve(context.Background(), "org", 100)
@@ -50,26 +50,25 @@
 		held, _ := a.Holding("org")
 		return held.Free
 	}
-	h.log.SetFault("", memlog.Fault{Refuse: true}) // the slice stays as it is
+	h.log.SetFault("", memlog.Fault{Refuse: true}) // the allocation does not change
 	before := free()
-	ask := LoanRequest{ID: "b/1", Organisation: "org", Tokens: 40}
-	is.Equal(a.Lend(context.Background(), ask).Tokens, int64(40))
+	request := LoanRequest{ID: "b/1", Organisation: "org", Tokens: 40}
+	is.Equal(a.Lend(context.Background(), request).Tokens, int64(40))
 	is.Equal(free(), before-40)
 	is.Equal(a.Recall("b/1"), int64(40))
 	is.Equal(a.Recall("b/1"), int64(0))
 	is.Equal(free(), before)
-	is.Equal(a.Lend(context.Background(), ask).Tokens, int64(0)) // it arrives again, late
+	is.Equal(a.Lend(context.Background(), request).Tokens, int64(0)) // a late duplicate
 	is.Equal(a.Recall("b/2"), int64(0))
-	ask.ID = "b/2"
-	is.Equal(a.Lend(context.Background(), ask).Tokens, int64(0))
+	request.ID = "b/2"
+	is.Equal(a.Lend(context.Background(), request).Tokens, int64(0))
 	is.Equal(free(), before)
 }
 
-// A host that waited for tokens of the log lends nothing if the loan was recalled
-// meanwhile.
-func TestLoanRecalledWhileTheLenderWaits(t *testing.T) {
+// A lender that waited for tokens from the log lends nothing if the loan was recalled meanwhile.
+func TestLoanRecalledWhileLenderWaits(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 1)
+	h := newHostGroup(t, 1)
 	a, _ := h.start("a", nil)
 	a.Configure(1, []Budget{{"org", 1000}}, true)
 	r, err := a.Reserve(context.Background(), "org", 100)
@@ -81,26 +80,26 @@
 	is.Equal(after.Free, before.Free+100)
 }
 
-// The book of loans is bounded; a loan that is forgotten counts as spent.
-func TestForgottenLoanCantBeRecalled(t *testing.T) {
+// The loan table is bounded; a forgotten loan counts as spent.
+func TestForgottenLoanCannotBeRecalled(t *testing.T) {
 	is := is.New(t)
-	b := newLoanBook()
-	b.lent("first", "org", 10)
+	b := newLoanTable()
+	b.add("first", "org", 10)
 	for i := range maxLoans {
-		b.lent(fmt.Sprint(i), "org", 1)
+		b.add(fmt.Sprint(i), "org", 1)
 	}
 	is.Equal(len(b.loans), maxLoans)
 	is.Equal(b.recall("first").tokens, int64(0))
 	is.Equal(b.recall(fmt.Sprint(maxLoans-1)).tokens, int64(1))
 }
 
-// A host that is no keeper of a budget borrows from one and makes no call to the log;
-// what it does not use goes back.
-func TestBorrowerLeavesTheLogToKeepers(t *testing.T) {
+// A host that is not a keeper of a budget borrows from one and makes no call to the log. What it
+// does not use is transferred back.
+func TestBorrowerMakesNoLogCalls(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 20)
+	h := newHostGroup(t, 20)
 	keeper, _ := h.start("keeper", nil)
-	var calls, gifts atomic.Int64
+	var calls, transfers atomic.Int64
 	borrower, _ := h.startWith(Options{
 		Log: h.log.Host("borrower"), Topic: "b", Partitions: 2, Host: "borrower", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
@@ -110,72 +109,71 @@
 			return keeper.Lend(ctx, LoanRequest{Organisation: organisation, Tokens: n})
 		},
 		TransferIdle: func(_ context.Context, organisation string, n int64) bool {
-			return keeper.Credit(Transfer{ID: fmt.Sprint(gifts.Add(1)), Organisation: organisation, Tokens: n})
+			return keeper.Credit(Transfer{ID: fmt.Sprint(transfers.Add(1)), Organisation: organisation, Tokens: n})
 		},
 		OnCall: func(string) { calls.Add(1) },
 	})
-	for _, tr := range []*Allocator{keeper, borrower} {
-		tr.Configure(1, []Budget{{"org", 1000}}, true)
+	for _, alloc := range []*Allocator{keeper, borrower} {
+		alloc.Configure(1, []Budget{{"org", 1000}}, true)
 	}
 	spent := spend(borrower, "org", 300, 1)
 	is.Equal(spent, int64(300))
 	is.Equal(calls.Load(), int64(0))
-	until.True(t, "what is idle goes back", func() bool { held, _ := borrower.Holding("org"); return held.Free == 0 })
-	is.Equal(spent+spend(keeper, "org", 10, 500), int64(1000)) // nothing is lost on the way
+	until.True(t, "idle tokens are transferred", func() bool { held, _ := borrower.Holding("org"); return held.Free == 0 })
+	is.Equal(spent+spend(keeper, "org", 10, 500), int64(1000)) // no token is lost
 	is.Equal(calls.Load(), int64(0))
 }
 
-// A host with much demand of its own takes slices itself.
-func TestBusyBorrowerTakesSlices(t *testing.T) {
+// A host with high demand of its own obtains allocations itself.
+func TestBusyBorrowerObtainsAllocation(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	w := &wallet{}
-	is.True(!w.busy(now))
-	w.note(100, now)
-	is.True(!w.busy(now)) // one request
+	al := &allocation{}
+	is.True(!al.busy(now))
+	al.recordDemand(100, now)
+	is.True(!al.busy(now)) // one request
 	for range 14 {
-		w.note(100, now)
+		al.recordDemand(100, now)
 	}
-	is.True(w.busy(now))
-	is.True(!w.busy(now.Add(20 * time.Second)))
+	is.True(al.busy(now))
+	is.True(!al.busy(now.Add(20 * time.Second)))
 }
 
-// What a host holds from a time when it took slices of its own goes back once it is no
-// keeper, also while it is in use.
-func TestBorrowerKeepsNoMoreThanItNeeds(t *testing.T) {
+// What a host holds from a time when it obtained allocations is returned once it is no longer a
+// keeper, even while it is in use.
+func TestBorrowerReturnsExcess(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	w := &wallet{account: Account{Granted: 5000, Limit: 10000}, limit: 10000, free: 4000}
-	w.note(100, now)
-	is.Equal(w.changeForWaiting(now), Change{Return: 4000 - 125})
-	w.free = 200
-	is.Equal(w.changeForWaiting(now), Change{})
-	w.wait(300)
-	is.Equal(w.changeForWaiting(now), Change{Take: 100, MinTake: 100})
+	al := &allocation{account: Account{Granted: 5000, Limit: 10000}, limit: 10000, free: 4000}
+	al.recordDemand(100, now)
+	is.Equal(al.changeOfBorrower(now), Change{Return: 4000 - 125})
+	al.free = 200
+	is.Equal(al.changeOfBorrower(now), Change{})
+	al.addWaiter(300)
+	is.Equal(al.changeOfBorrower(now), Change{Take: 100, MinTake: 100})
 }
 
-// A borrower whose keepers can't be reached takes a slice itself.
-func TestBorrowerWithoutKeepers(t *testing.T) {
+// A borrower whose keepers can't be reached obtains an allocation itself.
+func TestBorrowerWithUnreachableKeepersUsesLog(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 20)
-	tr, _ := h.startWith(Options{
+	h := newHostGroup(t, 20)
+	alloc, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
 		Keepers: func(string) (int, bool) { return 1, false },
 		Borrow:  func(context.Context, string, int64, float64) Loan { return Loan{} },
 	})
-	tr.Configure(1, []Budget{{"org", 1000}}, true)
-	is.Equal(spend(tr, "org", 10, 200), int64(1000))
+	alloc.Configure(1, []Budget{{"org", 1000}}, true)
+	is.Equal(spend(alloc, "org", 10, 200), int64(1000))
 }
 
-// A keeper that answers that there is no more is not asked again at once, nor is the
-// log in its place.
-func TestExhaustedBudgetIsNotAskedForAtOnce(t *testing.T) {
+// If a keeper reports that the budget is exhausted, neither it nor the log is asked again at once.
+func TestExhaustedBudgetIsNotRequestedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 20)
+	h := newHostGroup(t, 20)
 	var asked, calls atomic.Int64
-	tr, _ := h.startWith(Options{
+	alloc, _ := h.startWith(Options{
 		Log: h.log.Host("b"), Topic: "b", Partitions: 2, Host: "b", Sizing: DefaultSizing,
 		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 		Hosts:   func() int { return 20 },
@@ -186,49 +184,49 @@
 		},
 		OnCall: func(string) { calls.Add(1) },
 	})
-	tr.Configure(1, []Budget{{"org", 1000}}, true)
+	alloc.Configure(1, []Budget{{"org", 1000}}, true)
 	for range 20 {
-		_, err := tr.Reserve(context.Background(), "org", 10)
+		_, err := alloc.Reserve(context.Background(), "org", 10)
 		is.True(errors.Is(err, ErrExhausted))
 	}
 	is.Equal(asked.Load(), int64(1))
 	is.Equal(calls.Load(), int64(0))
 }
 
-// A keeper that gets no more tokens leaves room for large requests, and no longer keeps
-// them for such as do not come.
-func TestRoomForLargeRequestsIsNotKeptForEver(t *testing.T) {
+// A keeper that can obtain no more tokens reserves headroom for large requests, but stops once none
+// arrive.
+func TestHeadroomForLargeRequestsDecays(t *testing.T) {
 	is := is.New(t)
-	tr := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
-	tr.Configure(1, []Budget{{"org", 1000}}, true)
-	w := tr.wallets["org"]
-	w.account, w.known, w.free, w.wanted = Account{Granted: 1000, Limit: 1000, Version: 1}, true, 90, 500
-	w.note(100, time.Now())
-	is.True(!tr.hasRoom("org", w, 10))
-	w.used = time.Now().Add(-time.Second)
-	is.True(tr.hasRoom("org", w, 10))
-	is.True(!tr.hasRoom("org", w, 91))
+	alloc := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
+	alloc.Configure(1, []Budget{{"org", 1000}}, true)
+	al := alloc.allocations["org"]
+	al.account, al.known, al.free, al.keeperSize = Account{Granted: 1000, Limit: 1000, Version: 1}, true, 90, 500
+	al.recordDemand(100, time.Now())
+	is.True(!alloc.leavesHeadroom("org", al, 10))
+	al.lastRequestAt = time.Now().Add(-time.Second)
+	is.True(alloc.leavesHeadroom("org", al, 10))
+	is.True(!alloc.leavesHeadroom("org", al, 91))
 }
 
-// Where tokens come free a few at a time, large requests get their turn beside small ones,
-// which would otherwise take each of them.
+// Where a few tokens at a time become free, large requests are admitted too; small ones would
+// otherwise take every token.
 func TestLargeRequestsAreNotStarvedBySmallOnes(t *testing.T) {
 	is := is.New(t)
 	const small, large, freed = 1_000, 20_000, 2_000
-	tr := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
-	tr.Configure(1, []Budget{{"org", 1_000_000}}, true)
-	w := tr.wallets["org"]
-	w.account, w.known, w.wanted = Account{Granted: 1_000_000, Limit: 1_000_000, Version: 1}, true, 50_000
-	w.note(large, time.Now())
+	alloc := New(Options{Partitions: 1, Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true }})
+	alloc.Configure(1, []Budget{{"org", 1_000_000}}, true)
+	al := alloc.allocations["org"]
+	al.account, al.known, al.keeperSize = Account{Granted: 1_000_000, Limit: 1_000_000, Version: 1}, true, 50_000
+	al.recordDemand(large, time.Now())
 	served := map[int64]int{}
 	for step := range 400 {
-		w.free += freed
+		al.free += freed
 		for i := range 4 {
 			tokens := int64(small)
 			if (step+i)%4 == 0 {
 				tokens = large
 			}
-			if r, _ := tr.try("org", tokens); r != nil {
+			if r, _ := alloc.tryReserve("org", tokens); r != nil {
 				served[tokens]++
 			}
 		}
@@ -237,12 +235,12 @@
 	is.True(served[small] > 10)
 }
 
-// A host that has enough for a request but not for the large ones borrows what they need, in
-// place of refusing small ones with tokens in its hands.
-func TestRoomForLargeRequestsIsBorrowed(t *testing.T) {
+// A host that has enough for a request but not for the headroom of large ones borrows the
+// difference, instead of refusing small requests while it holds tokens.
+func TestHeadroomForLargeRequestsIsBorrowed(t *testing.T) {
 	is := is.New(t)
 	var asked []int64
-	tr := New(Options{
+	alloc := New(Options{
 		Log: memlog.New().Host("a"), Topic: "budgets", Partitions: 1,
 		Timeout: 50 * time.Millisecond, RefreshInterval: 20 * time.Millisecond, MaxWait: 20 * time.Millisecond,
 		Hosts: func() int { return 20 }, Keepers: func(string) (int, bool) { return 1, true },
@@ -251,13 +249,13 @@
 			return Loan{Tokens: tokens, Authoritative: true}
 		},
 	})
-	tr.Configure(1, []Budget{{"org", 1_000_000}}, true)
-	w := tr.wallets["org"]
-	w.account, w.known, w.wanted, w.free = Account{Granted: 1_000_000, Limit: 1_000_000, Version: 1}, true, 50_000, 5_000
-	w.note(20_000, time.Now())
-	got, err := tr.Reserve(context.Background(), "org", 1_000)
+	alloc.Configure(1, []Budget{{"org", 1_000_000}}, true)
+	al := alloc.allocations["org"]
+	al.account, al.known, al.keeperSize, al.free = Account{Granted: 1_000_000, Limit: 1_000_000, Version: 1}, true, 50_000, 5_000
+	al.recordDemand(20_000, time.Now())
+	got, err := alloc.Reserve(context.Background(), "org", 1_000)
 	is.NoErr(err)
 	is.Equal(got.Tokens(), int64(1_000))
 	is.Equal(len(asked), 1)
-	is.True(asked[0] > 10_000 && asked[0] <= 15_000) // the room fades while it waits
+	is.True(asked[0] > 10_000 && asked[0] <= 15_000) // the headroom decays while the request waits
 }
--- a/router/prepaid/shed.go
+++ b/router/prepaid/shed.go
@@ -8,118 +8,118 @@
 	log "github.com/sirupsen/logrus"
 )
 
-// After the loss of all hosts, whose tokens are gone, what is left of a budget goes to those
-// requests of which it serves most. Without that it goes to whoever comes first, nine tenths of
-// it to a few very large requests, and some 12 s later all callers are refused until the next
-// top-up: from then on 0.13 to 0.24 of all requests were served in place of a quarter and more
-// (simulated fleets of 6 to 300 hosts; the test of that load is in the package fleet).
+// After the loss of all hosts and of the tokens they held, the rest of a budget goes to the
+// requests of which it serves most. First come, first served would spend nine tenths of it on a few
+// very large requests, and some 12 s later all callers would be refused until the next top-up: from
+// then on 0.13 to 0.24 of all requests were served instead of a quarter and more (simulated fleets
+// of 6 to 300 hosts; the test of that load is in package fleet).
 //
-// A request gives way to those that cost at most half as much as long as what is unspent does
-// not last for them until budgets can be topped up. While there is more, nobody gives way. Where
-// no tokens were lost budgets are spent as they were planned: giving way there as well, near the
-// end of any budget or in an outage, cost 0.04 to 0.17 of the worth of days on which the tokens
+// A request is shed in favour of those that cost at most half as much, as long as the unspent
+// tokens do not last for those until budgets can be topped up. While there are more, no request is
+// shed. Where no tokens were lost, budgets are spent as planned: shedding there too, near the end
+// of any budget or in an outage, cost 0.04 to 0.17 of the worth of days on which the tokens
 // sufficed.
 
-// ErrShed means that the last tokens within reach are kept for requests that cost less.
-var ErrShed = errors.New("prepaid: the last tokens are kept for smaller requests")
+// ErrShed means that the last reachable tokens are reserved for requests that cost less.
+var ErrShed = errors.New("prepaid: the last tokens are reserved for requests that cost less")
 
 const (
-	// toppedUpIn is how soon, in seconds after the loss, budgets may be expected to be topped
-	// up: somebody has to notice. Until then what is unspent is to last. With 20 three of 15
-	// simulated fleets serve less than a quarter of the requests; each 5 more cost 0.01 of
-	// worth where no more tokens come.
-	toppedUpIn = 25.0
-	// leastSpan is how long, in seconds, it is to last at any time after that.
-	leastSpan = 5.0
-	// shedShare is what requests that give way still get, as a part of what is asked for
-	// by those that cost less: large ones become rare and are not starved.
+	// topUpDelay is the time, in seconds after the loss, until budgets can be expected to be topped
+	// up: an operator has to notice first. The unspent tokens are to last until then. With 20,
+	// three of 15 simulated fleets serve less than a quarter of the requests; each 5 more cost 0.01
+	// of worth where no more tokens come.
+	topUpDelay = 25.0
+	// minSpan is how long, in seconds, the unspent tokens are to last at any later time.
+	minSpan = 5.0
+	// shedShare is what requests to be shed still get, as a fraction of the demand of those that
+	// cost less: large requests become rare but are not starved.
 	shedShare = 0.1
-	// shedPause is how long, in seconds, no request has to give way for their part to be
+	// shedReset is the time, in seconds without any request to be shed, after which their share is
 	// counted anew.
-	shedPause = 2.0
-	// rankFactor is how much less a request is worth for each step of its priority.
-	rankFactor = 2.0
-	// askTime is the time, in seconds, over which what is asked for is smoothed.
-	askTime = 5.0
-	// leastSeen, in seconds, is the shortest time from which a rate is taken.
-	leastSeen = 0.5
-	// costSteps are the classes of cost to each doubling.
-	costSteps = 2
-	// costClasses reach to 2^24 tokens; what costs more is in the last one.
-	costClasses = 24*costSteps + 1
+	shedReset = 2.0
+	// priorityFactor is how much less a request is worth for each step of its priority.
+	priorityFactor = 2.0
+	// costDemandDecay is the time constant, in seconds, of the demand by cost.
+	costDemandDecay = 5.0
+	// minObserved is the shortest time, in seconds, from which a rate is computed.
+	minObserved = 0.5
+	// classesPerDoubling is the number of cost classes for each doubling of the cost.
+	classesPerDoubling = 2
+	// costClasses covers costs up to 2^24 tokens; higher costs are in the last class.
+	costClasses = 24*classesPerDoubling + 1
 )
 
-// cost is what serving a request costs its organisation's other callers: its tokens, the more
-// the less urgent it is.
+// cost is what serving a request costs the other callers of its organisation: its tokens, weighted
+// more the less urgent it is.
 func (q Request) cost() float64 {
-	return float64(q.Tokens) * math.Pow(rankFactor, float64(max(q.Priority, 0)))
+	return float64(q.Tokens) * math.Pow(priorityFactor, float64(max(q.Priority, 0)))
 }
 
-// shedder decides which requests give way. It is guarded by its treasury's lock.
+// shedder decides which requests are shed. It is guarded by the Allocator's lock.
 type shedder struct {
-	asked   [costClasses]float64 // smoothed tokens a second, by the cost of their requests
-	askedAt time.Time
-	began   time.Time // of the first request
-	credit  float64   // tokens for requests that should give way
-	shedAt  time.Time
+	demandByCost   [costClasses]float64 // smoothed tokens per second, by cost class of the requests
+	demandAt       time.Time
+	firstRequestAt time.Time
+	credit         float64 // tokens available to requests that would be shed
+	lastShedAt     time.Time
 }
 
 func costClass(cost float64) int {
 	if cost < 1 {
 		return 0
 	}
-	return min(int(costSteps*math.Log2(cost)), costClasses-1)
+	return min(int(classesPerDoubling*math.Log2(cost)), costClasses-1)
 }
 
-// note takes in what a request asks for, whether or not it begins.
-func (s *shedder) note(cost float64, tokens int64, now time.Time) {
-	if s.began.IsZero() {
-		s.began = now
+// record adds the tokens of a request to the demand, whether or not it is admitted.
+func (s *shedder) record(cost float64, tokens int64, now time.Time) {
+	if s.firstRequestAt.IsZero() {
+		s.firstRequestAt = now
 	}
 	s.decay(now)
-	s.asked[costClass(cost)] += float64(tokens) / askTime
+	s.demandByCost[costClass(cost)] += float64(tokens) / costDemandDecay
 }
 
 func (s *shedder) decay(now time.Time) {
-	if !s.askedAt.IsZero() {
-		part := math.Exp(-now.Sub(s.askedAt).Seconds() / askTime)
-		for i := range s.asked {
-			s.asked[i] *= part
+	if !s.demandAt.IsZero() {
+		factor := math.Exp(-now.Sub(s.demandAt).Seconds() / costDemandDecay)
+		for i := range s.demandByCost {
+			s.demandByCost[i] *= factor
 		}
 	}
-	s.askedAt = now
+	s.demandAt = now
 }
 
-// cheaper is what is asked for by requests that cost at most half, in tokens a second.
-func (s *shedder) cheaper(cost float64, now time.Time) float64 {
+// cheaperRate is the demand, in tokens per second, of requests that cost at most half as much.
+func (s *shedder) cheaperRate(cost float64, now time.Time) float64 {
 	return s.rate(costClass(cost/2), now)
 }
 
-// rate is what is asked for by requests of the first classes, in tokens a second. What a host
-// that has just started saw in less than askTime counts for the time that it saw.
+// rate is the demand of the first cost classes, in tokens per second. If the host started less than
+// costDemandDecay ago, it is scaled to the time observed.
 func (s *shedder) rate(classes int, now time.Time) float64 {
 	s.decay(now)
 	sum := 0.0
-	for _, rate := range s.asked[:classes] {
+	for _, rate := range s.demandByCost[:classes] {
 		sum += rate
 	}
-	seen := max(now.Sub(s.began).Seconds(), leastSeen)
-	return sum / (1 - math.Exp(-seen/askTime))
+	observed := max(now.Sub(s.firstRequestAt).Seconds(), minObserved)
+	return sum / (1 - math.Exp(-observed/costDemandDecay))
 }
 
-// sheds says whether a request has to give way at a host to which a part of the organisation's
-// requests comes, with so many tokens unspent that are to last for a span of seconds.
-func (s *shedder) sheds(cost float64, tokens int64, unspent, part, span float64, now time.Time) bool {
-	cheaper := s.cheaper(cost, now)
-	if cheaper == 0 || unspent-float64(tokens) >= span*cheaper/part {
+// rejects reports whether to shed a request at a host that gets a share of the organisation's
+// requests, if the unspent tokens are to last for a span of seconds.
+func (s *shedder) rejects(cost float64, tokens int64, unspent, share, span float64, now time.Time) bool {
+	cheaperRate := s.cheaperRate(cost, now)
+	if cheaperRate == 0 || unspent-float64(tokens) >= span*cheaperRate/share {
 		return false
 	}
-	since := now.Sub(s.shedAt).Seconds()
-	s.shedAt = now
-	if since > shedPause {
+	since := now.Sub(s.lastShedAt).Seconds()
+	s.lastShedAt = now
+	if since > shedReset {
 		s.credit = 0
 	} else {
-		s.credit = min(s.credit+shedShare*cheaper*since, float64(tokens))
+		s.credit = min(s.credit+shedShare*cheaperRate*since, float64(tokens))
 	}
 	if s.credit < float64(tokens) {
 		return true
@@ -128,60 +128,60 @@
 	return false
 }
 
-// part is which part of an organisation's requests comes to this host, where count hosts share
-// them as far as they know. The lock is held.
-func (w *wallet) part(count int, now time.Time) float64 {
-	w.decay(now)
-	part := 1 / float64(max(count, 1))
-	if flow := w.flow.rate(now); flow > 0 {
-		part = max(part, min(w.demand/flow, 1))
+// requestShare is the fraction of an organisation's requests that arrives at this host, where count
+// hosts share them as far as they know. The lock is held.
+func (al *allocation) requestShare(count int, now time.Time) float64 {
+	al.decayDemand(now)
+	share := 1 / float64(max(count, 1))
+	if flow := al.drawRate.rate(now); flow > 0 {
+		share = max(share, min(al.demand/flow, 1))
 	}
-	return part
+	return share
 }
 
-// shed notes a request and says whether it has to give way. Only a host that takes slices of
-// the budget decides it: others see few of its requests.
-func (t *Allocator) shed(organisation string, cost float64, tokens int64) bool {
+// shouldShed records a request and reports whether to shed it. Only a host that obtains allocations
+// of the budget decides this: others see few of its requests.
+func (a *Allocator) shouldShed(organisation string, cost float64, tokens int64) bool {
 	if cost <= 0 {
 		return false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := t.wallets[organisation]
-	if w == nil || !w.known || tokens > w.limit || !w.spendable() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	al := a.allocations[organisation]
+	if al == nil || !al.known || tokens > al.limit || !al.spendable() {
 		return false
 	}
-	count, self := t.keeps(organisation, w)
+	count, self := a.keepers(organisation, al)
 	if !self {
 		return false
 	}
 	now := time.Now()
-	w.shed.note(cost, tokens, now)
-	if !t.rations(organisation, w, now) {
+	al.shedder.record(cost, tokens, now)
+	if !a.rationed(organisation, al, now) {
 		return false
 	}
-	// What others hold is not known, and near a budget's end it is little.
-	unspent := float64(w.current().Remaining() + w.free)
-	span := max(toppedUpIn-now.Sub(w.ration.since).Seconds(), leastSpan)
-	return w.shed.sheds(cost, tokens, unspent, w.part(count, now), span, now)
+	// What others hold is unknown, and near a budget's end it is little.
+	unspent := float64(al.currentAccount().Remaining() + al.free)
+	span := max(topUpDelay-now.Sub(al.ration.since).Seconds(), minSpan)
+	return al.shedder.rejects(cost, tokens, unspent, al.requestShare(count, now), span, now)
 }
 
 // ration is the state of a budget after the loss of all hosts.
 type ration struct {
-	since time.Time // when the loss was noticed; zero: there was none
-	limit int64     // of the budget then
+	since time.Time // when the loss was noticed; zero: no loss
+	limit int64     // limit of the budget at that time
 }
 
-// rations says whether what is left of a budget is to last for those of its requests that cost
-// less: until the next top-up once all hosts were lost. The lock is held.
-func (t *Allocator) rations(organisation string, w *wallet, now time.Time) bool {
+// rationed reports whether the rest of a budget is reserved for requests that cost less: from the
+// loss of all hosts until the next top-up. The lock is held.
+func (a *Allocator) rationed(organisation string, al *allocation, now time.Time) bool {
 	switch {
-	case t.opts.AllHostsLost != nil && !t.opts.AllHostsLost():
-		w.ration = ration{}
+	case a.opts.AllHostsLost != nil && !a.opts.AllHostsLost():
+		al.ration = ration{}
 		return false
-	case w.ration.since.IsZero():
-		w.ration = ration{since: now, limit: w.limit}
-		log.WithFields(log.Fields{"organisation": organisation, "limit": w.limit, "granted": w.account.Granted}).Info("all hosts were lost: the budget is rationed")
+	case al.ration.since.IsZero():
+		al.ration = ration{since: now, limit: al.limit}
+		log.WithFields(log.Fields{"organisation": organisation, "limit": al.limit, "granted": al.account.Granted}).Info("all hosts were lost; the budget is rationed")
 	}
-	return w.limit <= w.ration.limit
+	return al.limit <= al.ration.limit
 }
--- a/router/prepaid/unreadable_test.go
+++ b/router/prepaid/unreadable_test.go
@@ -8,10 +8,10 @@
 	"maststage.dev/standin/until"
 )
 
-func TestDocumentsThatAreNoAccounts(t *testing.T) {
+func TestDecodeAccountRejectsOtherDocuments(t *testing.T) {
 	for _, text := range []string{"", "x", "null", "{}", "[]", "7", `{"granted":"5"}`, `{"limit":100}`, `{"granted":-1,"version":3,"writer":"h"}`} {
 		if _, err := DecodeAccount([]byte(text)); err == nil {
-			t.Errorf("%q is taken for an account", text)
+			t.Errorf("%q is accepted as an account", text)
 		}
 	}
 }
@@ -27,16 +27,16 @@
 	})
 }
 
-// A host that starts while an account's newest record is garbled takes nothing: it can't know
-// what others hold. Once a host that knows writes the account again, it goes on.
-func TestNothingIsTakenFromAGarbledAccount(t *testing.T) {
+// A host that starts while an account's newest record can't be decoded takes nothing, since it
+// can't know what others hold. It resumes once a host that knows writes the account again.
+func TestNothingIsTakenFromUndecodableAccount(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t, 2)
+	h := newHostGroup(t, 2)
 	a, stop := h.start("a", nil)
 	a.Configure(1, []Budget{{"org", 1000}}, true)
 	is.Equal(spend(a, "org", 10, 40), int64(400))
 	stop()
-	p := a.clerkOf("org").partition
+	p := a.writerOf("org").partition
 	good, _ := h.log.Get(p, "org")
 	h.log.Put(p, "org", []byte("null"))
 	b, _ := h.start("b", nil)
--- a/router/retrybudget/retrybudget_test.go
+++ b/router/retrybudget/retrybudget_test.go
@@ -64,7 +64,7 @@
 	return n
 }
 
-func TestSlackIsShared(t *testing.T) {
+func TestSlackIsDividedAmongHosts(t *testing.T) {
 	is := is.New(t)
 	limits := Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 	count := func(hosts int) int {
@@ -81,7 +81,7 @@
 	is.Equal(count(0), 0) // not known how many there are
 }
 
-func TestBudgetComesBackAfterTheWindow(t *testing.T) {
+func TestBudgetRecoversAfterWindow(t *testing.T) {
 	is := is.New(t)
 	b := New(Limits{Ratio: 0, Slack: 5, Window: 10 * time.Second}, func() int { return 1 }, time.Time{})
 	now := time.Unix(100, 0)
@@ -92,7 +92,7 @@
 	is.True(b.Spend(now.Add(12 * time.Second)))
 }
 
-func TestSetLimits(t *testing.T) {
+func TestSetLimitsAppliesToAllServices(t *testing.T) {
 	is := is.New(t)
 	s := NewSet(Limits{Slack: 0, Window: time.Second}, func() int { return 1 }, time.Time{})
 	is.True(!s.ForService("a").Spend(time.Unix(1, 0)))
--- a/router/streampace/streampace_test.go
+++ b/router/streampace/streampace_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func TestUnknownUntilStreamsWereSeen(t *testing.T) {
+func TestBoundIsUnknownUntilEnoughStreams(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	for range leastStreams - 1 {
@@ -37,7 +37,7 @@
 
 // A target that is at most twice as fast as the fastest stream seen never made more
 // events than came and the bound together, however late its events come.
-func TestBoundsWhatATargetMade(t *testing.T) {
+func TestBoundCoversGeneratedEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		first, gap := time.Hour, time.Hour
