--- a/router/keeper/keeper.go
+++ b/router/keeper/keeper.go
@@ -1,13 +1,15 @@
-// Package keeper chooses the hosts that hold the tokens of an organisation for all others.
+// Package keeper chooses the keepers of an organisation: the hosts that hold its tokens and lend
+// them to all other hosts.
 //
-// Pattern: a pool that is sharded by owner. In a large fleet each host sees a few requests a
-// second of many organisations. Where each held tokens for its own, most of them would lie
-// where the next request does not arrive, out of reach while the log is away, and all of
-// them would die with their hosts. So few hosts hold them, the more the larger an
-// organisation is, and the others borrow for each request.
+// Pattern: a pool sharded by owner. In a large fleet each host gets a few requests per second of
+// many organisations. If each held tokens for its own requests, most tokens would be on hosts where
+// the next request does not arrive, unreachable while the log is unavailable, and all of them would
+// be lost with their hosts. So only a few hosts hold them, more for a larger organisation, and the
+// others borrow for each request.
 //
-// It needs no word between hosts: all rank the hosts alike, by rendezvous hashing, and a
-// host that is asked out of turn, since those before it are silent, takes over.
+// Hosts need no messages to agree on the keepers: all rank the hosts alike, by rendezvous hashing.
+// A host that is asked although it is not a keeper, because those ranked before it do not respond,
+// acts as one.
 package keeper
 
 import (
@@ -19,40 +21,42 @@
 )
 
 const (
-	// SmallFleet is how many hosts a fleet may have in which each takes its own slices.
+	// SmallFleet is the largest number of hosts at which each host obtains its own allocations.
 	SmallFleet = 8
-	// hostsPerKeeper is how many hosts' requests one keeper bears. A loan costs it some
-	// 0.2 ms of a core, and a host asks for 3 to 4 a second: 12 hosts take under 1% of a core.
+	// hostsPerKeeper is how many hosts one keeper serves. A loan costs it some 0.2 ms of CPU time,
+	// and a host asks for 3 to 4 per second: 12 hosts take under 1% of a core.
 	hostsPerKeeper = 12
-	// spares are asked beside the keepers: for what they hold, or in place of silent ones.
-	spares = 4
+	// spareLenders is how many hosts are asked in addition to the keepers: for tokens they hold, or
+	// in place of silent keepers.
+	spareLenders = 4
 )
 
-// Count is how many keepers an organisation has that has a part (0 to 1) of all tokens.
-func Count(hosts int, part float64) int {
+// Count returns the number of keepers of an organisation that has the given share (0 to 1) of all
+// tokens.
+func Count(hosts int, share float64) int {
 	if hosts <= SmallFleet {
 		return hosts
 	}
-	return min(max(int(math.Ceil(part*float64(hosts)/hostsPerKeeper)), 1), hosts)
+	return min(max(int(math.Ceil(share*float64(hosts)/hostsPerKeeper)), 1), hosts)
 }
 
-// IsKeeper says whether the host self is a keeper among all hosts; others are their names.
+// IsKeeper reports whether host self is a keeper; others names the hosts, with or without self.
 func IsKeeper(organisation, self string, others []string, count int) bool {
 	key := rendezvous.NewKey(organisation)
-	own := key.Score(self)
-	above := 0
+	ownScore := key.Score(self)
+	higher := 0
 	for _, name := range others {
-		if name != self && key.Score(name) > own {
-			above++
+		if name != self && key.Score(name) > ownScore {
+			higher++
 		}
 	}
-	return above < count
+	return higher < count
 }
 
-// Lenders lists the hosts that self asks for tokens, in its order: the keepers, beginning
-// with another one at each host that asks, and then some spares.
+// Lenders returns the hosts that self asks for tokens, in order: first the keepers, starting with a
+// different one at each host to spread the load, then some spares.
 func Lenders(organisation, self string, others []string, count int) []string {
-	hosts := first(organisation, others, count+spares)
+	hosts := topRanked(organisation, others, count+spareLenders)
 	count = min(count, len(hosts))
 	if count == 0 {
 		return nil
@@ -65,24 +69,24 @@
 	return append(list, hosts[count:]...)
 }
 
-// ranked is a host and its score for an organisation.
-type ranked struct {
+// rankedHost is a host and its score for an organisation.
+type rankedHost struct {
 	name  string
 	score uint64
 }
 
-// first lists the n names with the highest scores, the highest first. Each request that
-// borrows needs it, so it keeps just these and sorts nothing else.
-func first(organisation string, names []string, n int) []string {
+// topRanked returns the n names with the highest scores, highest first. It runs for each request
+// that borrows, so it keeps only these and sorts nothing else.
+func topRanked(organisation string, names []string, n int) []string {
 	key := rendezvous.NewKey(organisation)
-	best := make([]ranked, 0, n+1)
+	best := make([]rankedHost, 0, n+1)
 	for _, name := range names {
 		score := key.Score(name)
 		if len(best) == n && score <= best[n-1].score {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(best, score, func(r ranked, score uint64) int { return cmp.Compare(score, r.score) })
-		best = slices.Insert(best, at, ranked{name, score})
+		index, _ := slices.BinarySearchFunc(best, score, func(r rankedHost, score uint64) int { return cmp.Compare(score, r.score) })
+		best = slices.Insert(best, index, rankedHost{name, score})
 		best = best[:min(len(best), n)]
 	}
 	list := make([]string, len(best))
