--- a/router/streampace/streampace.go
+++ b/router/streampace/streampace.go
@@ -1,7 +1,7 @@
-// Package metering bounds how many events a target may have made of a stream that broke
-// off before they came. A target makes events one after the other, so the time since the
-// request was sent bounds them, by the pace of the fastest streams that were seen. When
-// the events came does not count: they may be held up on their way.
+// Package streampace bounds how many events a target may have generated for a stream that broke off
+// before they were received. A target generates events one after the other, so the time since the
+// request was sent bounds their number, given the pace of the fastest streams observed. Arrival
+// times do not count: events may be delayed on their way.
 package streampace
 
 import (
@@ -9,66 +9,66 @@
 	"time"
 )
 
-// Figures of the bound.
+// Parameters of the bound.
 const (
-	// margin is the part of the fastest time seen that a target may need: streams that
-	// were seen shared their targets with others, and one alone is faster. Between one
-	// and many streams at a target the pace differs by less than this.
-	margin = 0.5
-	// leastStreams is how many streams are seen before their pace is believed.
-	leastStreams = 20
-	// leastEvents is how many events a stream has for its pace to be counted.
-	leastEvents = 8
+	// speedMargin is the fraction of the fastest observed time that a target may need: observed
+	// streams shared their targets with others, and a stream alone on a target is faster. The pace
+	// differs by less than this factor between one and many streams at a target.
+	speedMargin = 0.5
+	// minStreams is how many streams must be observed before the pace is used.
+	minStreams = 20
+	// minEvents is the number of events a stream must have for its pace to count.
+	minEvents = 8
 )
 
-// pace is the fastest that was seen of the targets of a service.
+// pace is the fastest pace observed at the targets of a service.
 type pace struct {
-	first   time.Duration // from the send to the first event
-	gap     time.Duration // between two events, in the mean of a stream
-	streams int
+	firstEvent time.Duration // from sending the request to the first event
+	gap        time.Duration // mean time between two events of a stream
+	streams    int
 }
 
-// Estimator knows the pace of each service.
+// Estimator tracks the pace of each service.
 type Estimator struct {
 	mu    sync.Mutex
 	paces map[string]pace
 }
 
-// New makes a meter that has seen nothing.
+// New returns an Estimator without observations.
 func New() *Estimator { return &Estimator{paces: map[string]pace{}} }
 
-// Observe takes in a stream that came whole: the time to its first event, that from its
-// first to its last, and how many there were.
-func (m *Estimator) Observe(service string, first, rest time.Duration, events int) {
-	if events < leastEvents || first <= 0 || rest <= 0 {
+// Observe records a stream that was received completely: the time to its first event, the time from
+// its first to its last event, and the number of events.
+func (e *Estimator) Observe(service string, firstEvent, toLast time.Duration, events int) {
+	if events < minEvents || firstEvent <= 0 || toLast <= 0 {
 		return
 	}
-	gap := rest / time.Duration(events-1)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	p, seen := m.paces[service]
+	gap := toLast / time.Duration(events-1)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	p, seen := e.paces[service]
 	if !seen {
-		p = pace{first: first, gap: gap}
+		p = pace{firstEvent: firstEvent, gap: gap}
 	}
-	p.first, p.gap = min(p.first, first), min(p.gap, gap)
+	p.firstEvent, p.gap = min(p.firstEvent, firstEvent), min(p.gap, gap)
 	p.streams++
-	m.paces[service] = p
+	e.paces[service] = p
 }
 
-// MaxUndelivered bounds the events that a target made beyond those that came, elapsed after the
-// request was sent. known is false while too few streams were seen to tell, and for a
-// stream of which more came than the pace that is believed in allows.
-func (m *Estimator) MaxUndelivered(service string, elapsed time.Duration, came int) (events int, known bool) {
-	m.mu.Lock()
-	p := m.paces[service]
-	m.mu.Unlock()
-	if p.streams < leastStreams {
+// MaxUndelivered returns a bound on the events that a target generated beyond those received,
+// elapsed after the request was sent. known is false while too few streams were observed, and for a
+// stream of which more events were received than the observed pace allows.
+func (e *Estimator) MaxUndelivered(service string, elapsed time.Duration, received int) (events int, known bool) {
+	e.mu.Lock()
+	p := e.paces[service]
+	e.mu.Unlock()
+	if p.streams < minStreams {
 		return 0, false
 	}
-	made := 0
-	if elapsed -= time.Duration(margin * float64(p.first)); elapsed >= 0 {
-		gap := max(time.Duration(margin*float64(p.gap)), 1)
-		made = int(elapsed/gap) + 1
+	generated := 0
+	if elapsed -= time.Duration(speedMargin * float64(p.firstEvent)); elapsed >= 0 {
+		gap := max(time.Duration(speedMargin*float64(p.gap)), 1)
+		generated = int(elapsed/gap) + 1
 	}
-	return made - came, made >= came
+	return generated - received, generated >= received
 }
