--- a/router/retrybudget/retrybudget.go
+++ b/router/retrybudget/retrybudget.go
@@ -1,7 +1,6 @@
-// Package retrybudget bounds how often this host sends requests to a service
-// again, so that the sum over all hosts stays within a share of the requests plus
-// a fixed slack in any window. Each host counts its own requests and takes an even
-// part of the slack.
+// Package retrybudget limits the retries that this host sends to a service, so that the retries of
+// all hosts together stay within a fraction of the requests plus a fixed slack in any window. Each
+// host counts its own requests and uses an even share of the slack.
 package retrybudget
 
 import (
@@ -9,41 +8,41 @@
 	"time"
 )
 
-// Limits are the fleet's bounds.
+// Limits are the bounds for the whole fleet.
 type Limits struct {
-	Ratio  float64       // arrivals beyond the first, for each request
-	Slack  float64       // arrivals beyond the first, of all hosts together
-	Window time.Duration // any span of this length
+	Ratio  float64       // retries per request
+	Slack  float64       // additional retries, of all hosts together
+	Window time.Duration // both hold in any span of this length
 }
 
-// safety is the part of the fleet's bounds that hosts use, for what they can't
+// safetyFactor is the fraction of the fleet's bounds that hosts use, to allow for what they can't
 // see of each other.
-const safety = 0.8
+const safetyFactor = 0.8
 
-// slots divide the window; the budget looks back one slot further, so that any
+// slotsPerWindow divides the window into slots. The budget looks back one slot further, so that any
 // window is covered.
-const slots = 10
+const slotsPerWindow = 10
 
-// Budget counts one service. Its zero value is not ready; use New.
+// Budget limits the retries to one service. Its zero value is not usable; call New.
 type Budget struct {
 	hosts func() int
 	start time.Time
 
 	mu       sync.Mutex
 	limits   Limits
-	requests ring
-	repeats  ring
+	requests slotCounter
+	retries  slotCounter
 }
 
-// New makes a budget of a host that was started at start; hosts tells how many hosts
-// share it, 0 if that is not known.
+// New returns the budget of a host that started at start; hosts returns how many hosts share it, 0
+// if that is unknown.
 func New(l Limits, hosts func() int, start time.Time) *Budget {
 	return &Budget{limits: l, hosts: hosts, start: start}
 }
 
-// slack is this host's part of the slack. For a window after its start it is none,
-// since a process before it on the same host may have spent that part.
-func (b *Budget) slack(now time.Time) float64 {
+// slackShare is this host's share of the slack. It is zero for one window after the start, since a
+// previous process on the same host may have spent that share.
+func (b *Budget) slackShare(now time.Time) float64 {
 	hosts := b.hosts()
 	if hosts <= 0 || now.Sub(b.start) <= b.limits.Window {
 		return 0
@@ -51,50 +50,50 @@
 	return b.limits.Slack / float64(hosts)
 }
 
-// ring counts events by slots of time.
-type ring struct {
-	counts [slots + 1]float64
+// slotCounter counts events by time slot in a ring.
+type slotCounter struct {
+	counts [slotsPerWindow + 1]float64
 	newest int64 // number of the newest slot
 }
 
-func (r *ring) advance(now int64) {
-	if now-r.newest > slots {
-		r.counts = [slots + 1]float64{}
+func (r *slotCounter) advance(now int64) {
+	if now-r.newest > slotsPerWindow {
+		r.counts = [slotsPerWindow + 1]float64{}
 		r.newest = now
 	}
 	for r.newest < now {
 		r.newest++
-		r.counts[r.newest%(slots+1)] = 0
+		r.counts[r.newest%(slotsPerWindow+1)] = 0
 	}
 }
 
-func (r *ring) add(now int64) {
+func (r *slotCounter) add(now int64) {
 	r.advance(now)
-	r.counts[now%(slots+1)]++
+	r.counts[now%(slotsPerWindow+1)]++
 }
 
-// sum counts the newest n slots.
-func (r *ring) sum(now int64, n int) float64 {
+// sum adds up the newest n slots.
+func (r *slotCounter) sum(now int64, n int) float64 {
 	r.advance(now)
 	total := 0.0
 	for i := range n {
-		total += r.counts[(now-int64(i)+slots+1)%(slots+1)]
+		total += r.counts[(now-int64(i)+slotsPerWindow+1)%(slotsPerWindow+1)]
 	}
 	return total
 }
 
-// setLimits changes the bounds. Counts of a window of another length start anew.
+// setLimits changes the bounds. If the window's length changes, the counts are reset.
 func (b *Budget) setLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.Window != b.limits.Window {
-		b.requests, b.repeats = ring{}, ring{}
+		b.requests, b.retries = slotCounter{}, slotCounter{}
 	}
 	b.limits = l
 }
 
 func (b *Budget) slot(now time.Time) int64 {
-	return now.UnixNano() / (int64(b.limits.Window) / slots)
+	return now.UnixNano() / (int64(b.limits.Window) / slotsPerWindow)
 }
 
 // CountRequest counts a request from a client.
@@ -104,18 +103,18 @@
 	b.requests.add(b.slot(now))
 }
 
-// Spend takes one repeat if the budget has it.
+// Spend takes one retry from the budget and reports whether it had one.
 func (b *Budget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	slot := b.slot(now)
-	// Requests of the whole window but its oldest part count, repeats of more
-	// than the window: both on the safe side.
-	allowed := safety * (b.limits.Ratio*b.requests.sum(slot, slots) + b.slack(now))
-	if b.repeats.sum(slot, slots+1)+1 > allowed {
+	// Requests count over the window without its oldest part, retries over more than the window:
+	// both err on the safe side.
+	allowed := safetyFactor * (b.limits.Ratio*b.requests.sum(slot, slotsPerWindow) + b.slackShare(now))
+	if b.retries.sum(slot, slotsPerWindow+1)+1 > allowed {
 		return false
 	}
-	b.repeats.add(slot)
+	b.retries.add(slot)
 	return true
 }
 
@@ -129,12 +128,12 @@
 	budgets map[string]*Budget
 }
 
-// NewSet makes an empty set; the arguments are those of New.
+// NewSet returns an empty set; the arguments are those of New.
 func NewSet(l Limits, hosts func() int, start time.Time) *Set {
 	return &Set{limits: l, hosts: hosts, start: start, budgets: map[string]*Budget{}}
 }
 
-// ForService gives the budget of a service.
+// ForService returns the budget of a service.
 func (s *Set) ForService(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/retrybudget/retrybudget_test.go
+++ b/router/retrybudget/retrybudget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Over all hosts and any window, repeats stay within the slack plus the share of
-// the requests of that window, of the one before it, or of the one half a window
-// before it, whichever has most, though hosts are killed and started again.
+// Over all hosts and any window, retries stay within the slack plus the ratio of the requests of
+// that window, of the one before it, or of the one half a window before it, whichever has most,
+// even if hosts are killed and restarted.
 func TestFleetStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
@@ -23,7 +23,7 @@
 		for i := range fleet {
 			fleet[i] = New(limits, func() int { return hosts }, time.Time{})
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		at := time.Duration(0)
 		start := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
@@ -38,23 +38,23 @@
 				requests = append(requests, at)
 			}
 			if b.Spend(start.Add(at)) {
-				repeats = append(repeats, at)
+				retries = append(retries, at)
 			}
 		}
-		for _, from := range repeats {
-			n := within(repeats, from, from+limits.Window)
+		for _, from := range retries {
+			n := countWithin(retries, from, from+limits.Window)
 			most := 0
 			for _, back := range []time.Duration{0, limits.Window / 2, limits.Window} {
-				most = max(most, within(requests, from-back, from-back+limits.Window))
+				most = max(most, countWithin(requests, from-back, from-back+limits.Window))
 			}
 			if float64(n) > limits.Ratio*float64(most)+limits.Slack {
-				t.Fatalf("%d repeats from %v on, %d requests", n, from, most)
+				t.Fatalf("%d retries in the window from %v, %d requests", n, from, most)
 			}
 		}
 	})
 }
 
-func within(times []time.Duration, from, to time.Duration) int {
+func countWithin(times []time.Duration, from, to time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at >= from && at < to {
@@ -78,7 +78,7 @@
 	is.Equal(count(1), 40)
 	is.Equal(count(4), 10)
 	is.Equal(count(1000), 0)
-	is.Equal(count(0), 0) // not known how many there are
+	is.Equal(count(0), 0) // the number of hosts is unknown
 }
 
 func TestBudgetRecoversAfterWindow(t *testing.T) {
