--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// Outcome is how a request fared at a target, as far as it tells of the target's version.
+// Outcome is the result of a request at a target, as far as it tells about the target's version.
 type Outcome struct {
 	Route         string
 	Domain        string // failure domain of the target
 	Target        string
 	OnTrial       bool          // the target has the version on trial
-	Failed        bool          // no answer, an incomplete one, or a failure of the target's own
-	FirstByte     time.Duration // until the answer began; 0: it did not
-	EventInterval time.Duration // between two events of a stream; 0: not known
-	Inconclusive  bool          // it tells nothing: its caller left, or the target said that it was full
-	NotSent       bool          // the target can't have got the request
+	Failed        bool          // no response, an incomplete one, or an error of the target itself
+	FirstByte     time.Duration // time to the start of the response; 0: there was none
+	EventInterval time.Duration // between two events of a stream; 0: unknown
+	Inconclusive  bool          // it tells nothing: the caller left, or the target refused because it was full
+	NotSent       bool          // the target can't have received the request
 }
 
-// cell is what answers are counted by. Those of old targets are counted by failure domain: a
-// large service has many.
+// cell is the key under which outcomes are counted. Those of old targets are counted by failure
+// domain only, as a large service has many targets.
 type cell struct {
 	Route  string `json:"route"`
 	Domain string `json:"domain"`
 	Target string `json:"target,omitempty"` // set for the version on trial
 }
 
-// counts are the answers of a cell. They only grow.
+// counts are the outcomes of a cell. They only grow.
 type counts struct {
-	Answers int64     `json:"n"`
-	Failed  int64     `json:"failed,omitempty"`
-	First   histogram `json:"first,omitempty"`
-	Pace    histogram `json:"pace,omitempty"`
+	Outcomes      int64     `json:"n"`
+	Failed        int64     `json:"failed,omitempty"`
+	FirstByte     histogram `json:"first,omitempty"`
+	EventInterval histogram `json:"pace,omitempty"`
 }
 
-// histogram counts times by half octaves of a millisecond.
+// histogram counts durations in buckets of half an octave of a millisecond.
 type histogram map[int]int64
 
-// bucketsPerOctave is fine enough to tell a time from twice as much.
+// bucketsPerOctave is fine enough to distinguish a duration from its double.
 const bucketsPerOctave = 2
 
 func bucketOf(d time.Duration) int {
 	return int(math.Floor(bucketsPerOctave * math.Log2(float64(d)/float64(time.Millisecond))))
 }
 
-func (h histogram) note(d time.Duration) histogram {
+func (h histogram) record(d time.Duration) histogram {
 	if d <= 0 {
 		return h
 	}
@@ -55,7 +55,7 @@
 	return h
 }
 
-// total is how many times were counted.
+// total is the number of durations counted.
 func (h histogram) total() (n int64) {
 	for _, count := range h {
 		n += count
@@ -63,7 +63,7 @@
 	return n
 }
 
-// above is how many times lie above a bucket.
+// above counts the durations above a bucket.
 func (h histogram) above(bucket int) (n int64) {
 	for b, count := range h {
 		if b > bucket {
@@ -73,8 +73,8 @@
 	return n
 }
 
-// quantile is the bucket at or below which a part of the times lies; ok is false without any.
-func (h histogram) quantile(part float64) (bucket int, ok bool) {
+// quantile is the bucket at or below which the given fraction lies; ok is false if the histogram is empty.
+func (h histogram) quantile(fraction float64) (bucket int, ok bool) {
 	total := h.total()
 	if total == 0 {
 		return 0, false
@@ -83,7 +83,7 @@
 	for b := range h {
 		low, high = min(low, b), max(high, b)
 	}
-	need := int64(math.Ceil(part * float64(total)))
+	need := int64(math.Ceil(fraction * float64(total)))
 	for b := low; b <= high; b++ {
 		if need -= h[b]; need <= 0 {
 			return b, true
@@ -92,8 +92,8 @@
 	return high, true
 }
 
-// plus adds a multiple of other counts.
-func (h histogram) plus(o histogram, times int64) histogram {
+// addScaled adds other counts, multiplied by times.
+func (h histogram) addScaled(o histogram, times int64) histogram {
 	if h == nil && len(o) > 0 {
 		h = histogram{}
 	}
@@ -103,31 +103,31 @@
 	return h
 }
 
-func (c *counts) note(a Outcome) {
-	c.Answers++
+func (c *counts) record(a Outcome) {
+	c.Outcomes++
 	if a.Failed {
 		c.Failed++
 	}
-	c.First = c.First.note(a.FirstByte)
-	c.Pace = c.Pace.note(a.EventInterval)
+	c.FirstByte = c.FirstByte.record(a.FirstByte)
+	c.EventInterval = c.EventInterval.record(a.EventInterval)
 }
 
-// plus adds a multiple of other counts.
-func (c *counts) plus(o counts, times int64) {
-	c.Answers += times * o.Answers
+// addScaled adds other counts, multiplied by times.
+func (c *counts) addScaled(o counts, times int64) {
+	c.Outcomes += times * o.Outcomes
 	c.Failed += times * o.Failed
-	c.First = c.First.plus(o.First, times)
-	c.Pace = c.Pace.plus(o.Pace, times)
+	c.FirstByte = c.FirstByte.addScaled(o.FirstByte, times)
+	c.EventInterval = c.EventInterval.addScaled(o.EventInterval, times)
 }
 
-// clone is a copy that shares nothing.
+// clone returns a deep copy.
 func (c counts) clone() counts {
 	copied := counts{}
-	copied.plus(c, 1)
+	copied.addScaled(c, 1)
 	return copied
 }
 
-// cellOf is where an answer counts.
+// cellOf is the cell that counts an outcome.
 func cellOf(a Outcome) cell {
 	c := cell{Route: a.Route, Domain: a.Domain}
 	if a.OnTrial {
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Rule says which versions of targets one request may use. The zero Rule allows all.
+// Rule says which versions a request may use. The zero Rule allows all.
 type Rule struct {
-	Only   string   // no other version; empty: any that is not barred
-	Share  float64  // with Only: the part of the requests that goes there
-	Barred []string // versions that get nothing
+	Only   string   // the only version allowed; empty: any that is not barred
+	Share  float64  // with Only: the share of the requests that goes to it
+	Barred []string // versions that get no requests
 }
 
-// Allows says whether a target of a version may get the request.
+// Allows reports whether a target of a version may get the request.
 func (r Rule) Allows(version string) bool {
 	if r.Only != "" {
 		return version == r.Only
@@ -23,20 +23,20 @@
 	return !slices.Contains(r.Barred, version)
 }
 
-// Request is a request that looks for a target.
+// Request is a request that needs a target.
 type Request struct {
 	Service      string
-	NotRetryable bool // it may not be sent again
-	FirstAttempt bool // it was sent to no target before
+	NotRetryable bool // it must not be sent again
+	FirstAttempt bool // it was not sent to any target before
 }
 
-// Gate is one host's part in the rollouts: which versions its requests may use, and what their
-// answers tell. It is safe for concurrent use.
+// Gate is one host's part in rollouts: it says which versions requests may use and counts their
+// outcomes. It is safe for concurrent use.
 type Gate struct {
-	self string // name and incarnation of this host
-	draw func() float64
-	// read says whether the orders that were given until a moment are known.
-	read func(time.Time) bool
+	self   string // name and incarnation of this host
+	random func() float64
+	// ordersKnown reports whether this host has read all orders given until a time.
+	ordersKnown func(time.Time) bool
 
 	mu       sync.Mutex
 	services map[string]*service
@@ -44,57 +44,57 @@
 
 // service is a service that has, or had, a rollout.
 type service struct {
-	order    *Order
-	record   *Record
-	standing standing
-	heard    time.Time // of the order
+	order         *Order
+	record        *Record
+	eligibility   eligibility
+	orderReceived time.Time
 
-	advice   Advice
-	told     time.Time // when the advice came
-	interval time.Duration
-	report   Report
-	cells    map[cell]*counts
+	advice         Advice
+	adviceReceived time.Time
+	interval       time.Duration
+	report         Report
+	cells          map[cell]*counts
 
-	seen map[string]bool      // versions that have no order, or one that is known
-	held map[string]time.Time // versions that were first listed a moment ago, and when
+	confirmed   map[string]bool      // versions that have no order, or whose order is known
+	unconfirmed map[string]time.Time // versions listed of late, by when they were first listed
 }
 
-// NewGate makes the gate of a host. read says whether the orders that were given until a moment
-// are known to it.
-func NewGate(self string, read func(time.Time) bool) *Gate {
-	return &Gate{self: self, draw: rand.Float64, read: read, services: map[string]*service{}}
+// NewGate makes the gate of a host. ordersKnown reports whether the host has read all orders given
+// until a time.
+func NewGate(self string, ordersKnown func(time.Time) bool) *Gate {
+	return &Gate{self: self, random: rand.Float64, ordersKnown: ordersKnown, services: map[string]*service{}}
 }
 
 func (g *Gate) service(name string) *service {
 	s := g.services[name]
 	if s == nil {
-		s = &service{seen: map[string]bool{}, held: map[string]time.Time{}}
+		s = &service{confirmed: map[string]bool{}, unconfirmed: map[string]time.Time{}}
 		g.services[name] = s
 	}
 	return s
 }
 
-// NoteVersion notes that a target of a version is listed. Unless it is the first version, the order to move
-// to it may be on its way here: it gets nothing until the orders are known that were given until
-// now.
+// NoteVersion notes that a target of a version is listed. Unless it is the service's first version,
+// its order may still be on its way: the version gets no requests until this host has read all orders
+// given until now.
 func (g *Gate) NoteVersion(name, version string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name)
-	if len(s.seen) == 0 {
-		s.seen[version] = true
+	if len(s.confirmed) == 0 {
+		s.confirmed[version] = true
 	}
-	if _, held := s.held[version]; !held && !s.seen[version] {
-		s.held[version] = now
+	if _, held := s.unconfirmed[version]; !held && !s.confirmed[version] {
+		s.unconfirmed[version] = now
 	}
 }
 
-// waiting lists the versions of a service whose orders may be on their way. What says so is asked
-// without the lock: it has one of its own, under which orders come in.
-func (g *Gate) waiting(name string) (versions []string) {
-	for version, since := range g.heldVersions(name) {
-		if g.read(since) {
-			g.release(name, version)
+// unconfirmedVersions lists the versions of a service whose orders may be on their way. It calls
+// ordersKnown without the lock: that takes a lock of its own, under which SetOrder is called.
+func (g *Gate) unconfirmedVersions(name string) (versions []string) {
+	for version, since := range g.listUnconfirmed(name) {
+		if g.ordersKnown(since) {
+			g.confirm(name, version)
 		} else {
 			versions = append(versions, version)
 		}
@@ -102,25 +102,25 @@
 	return versions
 }
 
-func (g *Gate) heldVersions(name string) map[string]time.Time {
+func (g *Gate) listUnconfirmed(name string) map[string]time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
-	if s == nil || len(s.held) == 0 {
+	if s == nil || len(s.unconfirmed) == 0 {
 		return nil
 	}
-	return maps.Clone(s.held)
+	return maps.Clone(s.unconfirmed)
 }
 
-func (g *Gate) release(name, version string) {
+func (g *Gate) confirm(name, version string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
-	delete(s.held, version)
-	s.seen[version] = true
+	delete(s.unconfirmed, version)
+	s.confirmed[version] = true
 }
 
-// SetOrder takes over the newest order of a service. The same order again changes nothing.
+// SetOrder sets the newest order of a service. Setting the same order again changes nothing.
 func (g *Gate) SetOrder(o Order, now time.Time) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,13 +129,13 @@
 		s.order = &o
 		return false
 	}
-	s.order, s.heard, s.advice, s.cells = &o, now, Advice{}, map[cell]*counts{}
+	s.order, s.orderReceived, s.advice, s.cells = &o, now, Advice{}, map[cell]*counts{}
 	s.report = Report{Service: o.Service, Version: o.Version, Host: g.self}
-	s.standing = standingOf(s.order, s.record)
+	s.eligibility = eligibilityOf(s.order, s.record)
 	return true
 }
 
-// WithdrawOrder notes that the order of a service was taken back.
+// WithdrawOrder notes that the order of a service was withdrawn.
 func (g *Gate) WithdrawOrder(name string) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,20 +144,20 @@
 		return false
 	}
 	s.order = nil
-	s.standing = standingOf(nil, s.record)
+	s.eligibility = eligibilityOf(nil, s.record)
 	return true
 }
 
-// SetRecord takes over the newest record of a service.
+// SetRecord sets the newest record of a service.
 func (g *Gate) SetRecord(r Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(r.Service)
 	s.record = &r
-	s.standing = standingOf(s.order, s.record)
+	s.eligibility = eligibilityOf(s.order, s.record)
 }
 
-// SetAdvice takes over the advice of the host that conducts a rollout, in a fleet of so many hosts.
+// SetAdvice sets the advice of the coordinating host; hosts is the size of the fleet.
 func (g *Gate) SetAdvice(name, version string, a Advice, hosts int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -165,41 +165,41 @@
 	if s == nil || s.order == nil || s.order.Version != version {
 		return
 	}
-	s.advice, s.told, s.interval = a, now, ReportInterval(hosts)
+	s.advice, s.adviceReceived, s.interval = a, now, ReportInterval(hosts)
 }
 
-// Rule gives the versions that a request may use.
-func (g *Gate) Rule(a Request, now time.Time) Rule {
-	waiting := g.waiting(a.Service)
+// Rule returns the versions that a request may use.
+func (g *Gate) Rule(r Request, now time.Time) Rule {
+	unconfirmed := g.unconfirmedVersions(r.Service)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.services[a.Service]
+	s := g.services[r.Service]
 	if s == nil {
 		return Rule{}
 	}
-	st := s.standing
-	if st.trial != "" && a.FirstAttempt {
-		if share := s.share(a, now); share > 0 && g.draw() < share {
-			return Rule{Only: st.trial, Share: share}
+	eligible := s.eligibility
+	if eligible.trial != "" && r.FirstAttempt {
+		if share := s.share(r, now); share > 0 && g.random() < share {
+			return Rule{Only: eligible.trial, Share: share}
 		}
 	}
-	barred := slices.Concat(st.barred, waiting)
-	if undecided := st.trial + st.wanted; undecided != "" { // one of the two at most
+	barred := slices.Concat(eligible.barred, unconfirmed)
+	if undecided := eligible.trial + eligible.pending; undecided != "" { // at most one of the two is set
 		barred = append(barred, undecided)
 	}
 	return Rule{Barred: barred}
 }
 
-// share is the part of the requests like this one that goes to the version on trial. Without
-// fresh advice it is none: nobody may know what this host's answers tell.
-func (s *service) share(a Request, now time.Time) float64 {
-	age := now.Sub(s.told)
-	if s.told.IsZero() || age > time.Duration(staleIntervals*float64(s.interval)) {
+// share is the share of requests like this one that goes to the version on trial. It is 0 without
+// fresh advice, as this host's outcomes might then reach no coordinator.
+func (s *service) share(r Request, now time.Time) float64 {
+	age := now.Sub(s.adviceReceived)
+	if s.adviceReceived.IsZero() || age > time.Duration(adviceValidIntervals*float64(s.interval)) {
 		return 0
 	}
 	switch s.advice.Phase {
 	case PhaseMoving:
-		if a.NotRetryable && age < time.Duration(s.advice.MovingMs)*time.Millisecond {
+		if r.NotRetryable && age < time.Duration(s.advice.MovingMs)*time.Millisecond {
 			return 1
 		}
 		return s.advice.Share
@@ -209,9 +209,9 @@
 	return 0
 }
 
-// LastResort says whether the request may use the version that its rule bars for now, as no
-// target of another version is listed: the old ones stop as soon as the move is done, which
-// this host may not have heard.
+// LastResort returns the version that the request's rule bars for now, if no target of another
+// version is listed: old targets stop as soon as the rollout is done, which this host may not have
+// heard yet.
 func (g *Gate) LastResort(name string, listed map[string]int) (version string, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -219,80 +219,80 @@
 	if s == nil {
 		return "", false
 	}
-	version = s.standing.trial + s.standing.wanted // one of the two at most
+	version = s.eligibility.trial + s.eligibility.pending // at most one of the two is set
 	if version == "" || listed[version] == 0 {
 		return "", false
 	}
 	for other, targets := range listed {
-		if other != version && targets > 0 && !slices.Contains(s.standing.barred, other) {
+		if other != version && targets > 0 && !slices.Contains(s.eligibility.barred, other) {
 			return "", false
 		}
 	}
 	return version, true
 }
 
-// watched gives a service whose answers are counted, nil for others.
-func (g *Gate) watched(name string) *service {
+// activeService returns a service with an undecided order, whose outcomes are counted; nil for others.
+func (g *Gate) activeService(name string) *service {
 	s := g.services[name]
-	if s == nil || s.order == nil || s.record.decides(*s.order) && s.record.State.Final() {
+	if s == nil || s.order == nil || s.record.isFor(*s.order) && s.record.State.Final() {
 		return nil
 	}
 	return s
 }
 
 // RequestSent counts a request that was sent to a target of a version.
-func (g *Gate) RequestSent(a Request, version string) {
+func (g *Gate) RequestSent(r Request, version string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.watched(a.Service)
+	s := g.activeService(r.Service)
 	if s == nil {
 		return
 	}
-	if a.FirstAttempt {
+	if r.FirstAttempt {
 		s.report.Sent++
 	}
 	switch {
 	case version == s.order.Version:
 		s.report.Trial++
-	case a.NotRetryable:
+	case r.NotRetryable:
 		s.report.NotRetryableOnOld++
 	}
-	if a.NotRetryable && a.FirstAttempt {
+	if r.NotRetryable && r.FirstAttempt {
 		s.report.NotRetryable++
 	}
 }
 
-// RequestEnded counts the end of a request that Sent counted, and what its answer tells.
-func (g *Gate) RequestEnded(a Request, version string, answer Outcome) {
+// RequestEnded counts the end of a request that RequestSent counted, and its outcome.
+func (g *Gate) RequestEnded(r Request, version string, outcome Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.watched(a.Service)
+	s := g.activeService(r.Service)
 	if s == nil {
 		return
 	}
-	answer.OnTrial = version == s.order.Version
-	if a.NotRetryable && !answer.OnTrial && !answer.NotSent {
+	outcome.OnTrial = version == s.order.Version
+	if r.NotRetryable && !outcome.OnTrial && !outcome.NotSent {
 		s.report.NotRetryableOnOld = max(s.report.NotRetryableOnOld-1, 0)
 	}
-	if answer.Inconclusive {
+	if outcome.Inconclusive {
 		return
 	}
-	c := cellOf(answer)
+	c := cellOf(outcome)
 	if s.cells[c] == nil {
 		s.cells[c] = &counts{}
 	}
-	s.cells[c].note(answer)
+	s.cells[c].record(outcome)
 }
 
-// UndecidedOrders lists the orders that are not decided, as far as this host knows, with the moment at
-// which it heard of each.
+// UndecidedOrders lists the orders without a decision, as far as this host knows, with the time at
+// which it received each.
 func (g *Gate) UndecidedOrders() map[Order]time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	open := map[Order]time.Time{}
 	for name := range g.services {
-		if s := g.watched(name); s != nil {
-			open[*s.order] = s.heard
+		if s := g.activeService(name); s != nil {
+			open[*s.order] = s.orderReceived
 		}
 	}
 	return open
@@ -309,15 +309,15 @@
 	return s.record
 }
 
-// Undecided says whether a version of a service waits for a decision.
+// Undecided reports whether a version of a service awaits a decision.
 func (g *Gate) Undecided(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
-	return s != nil && s.standing.trial+s.standing.wanted != ""
+	return s != nil && s.eligibility.trial+s.eligibility.pending != ""
 }
 
-// OrphanedRecords lists the records of rollouts that run though their order was taken back.
+// OrphanedRecords lists the records of running rollouts whose order was withdrawn.
 func (g *Gate) OrphanedRecords() (records []Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -329,11 +329,11 @@
 	return records
 }
 
-// Report is what this host tells of an order now; ok is false if there is no such order.
+// Report is this host's report on an order; ok is false if the order is not open.
 func (g *Gate) Report(o Order) (r Report, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.watched(o.Service)
+	s := g.activeService(o.Service)
 	if s == nil || s.order.Version != o.Version {
 		return r, false
 	}
--- a/router/rollout/report.go
+++ b/router/rollout/report.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Report is what one host tells of a rollout: all that it saw since the order, so that the
-// newest one is enough.
+// Report is one host's view of a rollout. It has everything since the order, so that the newest
+// report of a host replaces the ones before.
 type Report struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
 	Host    string `json:"host"` // name and incarnation
 	Number  int64  `json:"number"`
-	// Sent counts the requests of the service that this host sent to a target; Trial, of them,
-	// those sent to the version on trial.
+	// Sent counts the requests of the service that this host sent to a target; Trial, of
+	// those, the ones sent to the version on trial.
 	Sent  int64 `json:"sent"`
 	Trial int64 `json:"trial"`
-	// NotRetryable counts, of Sent, those that may not be sent again; Open, of them, those under way at
-	// old targets.
+	// NotRetryable counts, of Sent, those that must not be retried; NotRetryableOnOld, of
+	// those, the ones in flight at old targets.
 	NotRetryable      int64       `json:"single"`
 	NotRetryableOnOld int64       `json:"open"`
 	Cells             []cellCount `json:"cells,omitempty"`
@@ -32,33 +32,33 @@
 const (
 	// PhaseHeld: nothing is sent to the new version.
 	PhaseHeld Phase = "held"
-	// PhaseTrial: a part of the requests goes to the new version.
+	// PhaseTrial: a share of the requests goes to the new version.
 	PhaseTrial Phase = "trial"
-	// PhaseMoving: what may not be sent again goes to the new version, so that old targets are without
-	// it as they stop; of the rest, a part.
+	// PhaseMoving: requests that must not be retried go to the new version, so that old targets
+	// have none in flight when they stop; of the others, a share.
 	PhaseMoving Phase = "moving"
 )
 
-// Advice is the answer to a report.
+// Advice is the coordinating host's reply to a report.
 type Advice struct {
-	// LogReachable says that the host that answers reaches the log. Another one is asked if not.
+	// LogReachable says that the replying host reaches the log. If not, another host is asked.
 	LogReachable bool    `json:"able"`
 	Phase        Phase   `json:"phase"`
 	Share        float64 `json:"share"` // of the requests that go to the new version
-	// MovingMs is how long Moving lasts, if nothing else is heard.
+	// MovingMs is how long PhaseMoving lasts if no further advice arrives.
 	MovingMs int64 `json:"moving_ms,omitempty"`
 }
 
-// Figures of reports.
+// Report intervals.
 const (
-	leastInterval   = 500 * time.Millisecond
-	intervalForHost = 2 * time.Millisecond // so that one host bears the reports of all
-	// staleIntervals is after how many intervals without an answer nothing is sent to the new
-	// version any more.
-	staleIntervals = 2.5
+	minReportInterval     = 500 * time.Millisecond
+	reportIntervalPerHost = 2 * time.Millisecond // so that one host can take the reports of all
+	// adviceValidIntervals is the number of intervals without a reply after which a host sends
+	// nothing more to the new version.
+	adviceValidIntervals = 2.5
 )
 
-// ReportInterval is the time between two reports of a host in a fleet of so many.
+// ReportInterval is the time between two reports of a host in a fleet of the given size.
 func ReportInterval(hosts int) time.Duration {
-	return max(leastInterval, time.Duration(hosts)*intervalForHost)
+	return max(minReportInterval, time.Duration(hosts)*reportIntervalPerHost)
 }
--- a/router/rollout/rollout.go
+++ b/router/rollout/rollout.go
@@ -1,8 +1,8 @@
-// Package rollout moves the requests of a service to a new version of its targets, which
-// stand beside the old ones. A small part of the requests goes there first; their answers are
-// compared with those of the old version, and the move is then made or taken back, once and
-// for good. The package decides and does no I/O: hosts bring it what they saw, carry its
-// answers to each other and keep its records in the log.
+// Package rollout moves the requests of a service to a new version of its targets, which runs
+// beside the old version. A small share of the requests goes to the new version first, and their
+// outcomes are compared with those of the old version. The rollout is then completed or rolled back;
+// either decision is final. The package decides and does no I/O: hosts feed it what they observe,
+// carry its advice to each other and keep its records in the log.
 package rollout
 
 import (
@@ -15,13 +15,13 @@
 type Order struct {
 	Service string
 	Version string
-	Period  time.Duration // the move is to be done within it
+	Period  time.Duration // the rollout must be decided within it
 }
 
-// ErrIncomplete means that an order lacks a service, a version or a period.
-var ErrIncomplete = errors.New("rollout: service, version or a period above 0 is missing")
+// ErrIncomplete means that an order lacks a service, a version or a positive period.
+var ErrIncomplete = errors.New("rollout: order has no service, no version or no positive period")
 
-// Check says whether an order can be carried out.
+// Check validates an order.
 func (o Order) Check() error {
 	if o.Service == "" || o.Version == "" || o.Period <= 0 {
 		return ErrIncomplete
@@ -29,17 +29,17 @@
 	return nil
 }
 
-// State is how far a rollout is.
+// State is the state of a rollout.
 type State string
 
-// The states. A rollout that is done or rolled back stays so.
+// The states. Done and RolledBack are final.
 const (
 	Running    State = "running"
 	Done       State = "done"
 	RolledBack State = "rolled_back"
 )
 
-// Final says whether the state never changes again.
+// Final reports whether the state never changes again.
 func (s State) Final() bool { return s == Done || s == RolledBack }
 
 // Record is what the log keeps of the newest rollout of a service.
@@ -47,12 +47,12 @@
 	Service string
 	Version string
 	State   State
-	Base    []string  // versions that served as the order came
-	Barred  []string  // versions that earlier rollouts gave up
-	Began   time.Time // by the clock of the host that wrote it first; zero: not told
+	Base    []string  // versions in use when the order was given
+	Barred  []string  // versions that earlier rollouts retired or rolled back
+	Began   time.Time // by the clock of the host that wrote it first; zero: unknown
 }
 
-// Check says whether a record can be one that a host wrote.
+// Check validates a record that was read from the log.
 func (r Record) Check() error {
 	if r.Version == "" || r.State != Running && !r.State.Final() {
 		return ErrInvalidRecord
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// ErrInvalidRecord means that a record names no version, or a state that there is not.
-var ErrInvalidRecord = errors.New("rollout: version or a known state is missing")
+// ErrInvalidRecord means that a record has no version or an unknown state.
+var ErrInvalidRecord = errors.New("rollout: record has no version or an unknown state")
 
-// decides says whether a record is the one of an order.
-func (r *Record) decides(o Order) bool { return r != nil && r.Version == o.Version }
+// isFor reports whether a record belongs to an order.
+func (r *Record) isFor(o Order) bool { return r != nil && r.Version == o.Version }
 
-// begin is the first record of an order. last is the record of the service before, if any;
-// versions are those of the targets that are listed.
-func begin(o Order, last *Record, versions []string, now time.Time) Record {
+// newRecord makes the first record of an order. previous is the service's record before it, if any;
+// versions are those of the listed targets.
+func newRecord(o Order, previous *Record, versions []string, now time.Time) Record {
 	next := Record{Service: o.Service, Version: o.Version, State: Running, Began: now}
-	if last != nil {
-		next.Barred = without(last.barredAfter(), o.Version)
+	if previous != nil {
+		next.Barred = without(previous.barredAfter(), o.Version)
 	}
 	for _, v := range versions {
 		if v != o.Version && !slices.Contains(next.Barred, v) {
@@ -82,7 +82,7 @@
 	return next
 }
 
-// barredAfter lists the versions that get nothing once another order follows.
+// barredAfter lists the versions that get no requests once another order follows.
 func (r *Record) barredAfter() []string {
 	barred := slices.Clone(r.Barred)
 	if r.State == Done {
@@ -95,8 +95,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == item })
 }
 
-// ended gives the record with a final state. A state that is final is kept.
-func (r Record) ended(s State) Record {
+// finalize returns the record with a final state, unless its state is final already.
+func (r Record) finalize(s State) Record {
 	if !r.State.Final() {
 		r.State = s
 	}
--- a/router/rollout/rule.go
+++ b/router/rollout/rule.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// standing is what order and record of a service together say of its versions.
-type standing struct {
-	trial  string   // the version that is on trial; empty: none
-	wanted string   // the version that was ordered and is neither on trial nor decided yet
-	barred []string // versions that get nothing
+// eligibility says which versions may get requests, by the order and record of a service.
+type eligibility struct {
+	trial   string   // the version on trial; empty: none
+	pending string   // the version that was ordered and is neither on trial nor decided yet
+	barred  []string // versions that get no requests
 }
 
-// standingOf weighs order and record; either may be nil.
-func standingOf(o *Order, r *Record) standing {
+// eligibilityOf combines an order and a record; either may be nil.
+func eligibilityOf(o *Order, r *Record) eligibility {
 	switch {
 	case o == nil && r == nil:
-		return standing{}
+		return eligibility{}
 	case r == nil:
-		return standing{wanted: o.Version}
-	case o == nil || r.decides(*o):
-		return r.standing(o != nil)
+		return eligibility{pending: o.Version}
+	case o == nil || r.isFor(*o):
+		return r.eligibility(o != nil)
 	}
 	// The order is newer than the record.
-	return standing{wanted: o.Version, barred: without(r.barredAfter(), o.Version)}
+	return eligibility{pending: o.Version, barred: without(r.barredAfter(), o.Version)}
 }
 
-// standing is what a record says by itself; ordered says that its order is in force.
-func (r *Record) standing(ordered bool) standing {
-	s := standing{barred: slices.Clone(r.Barred)}
+// eligibility is what the record says by itself; ordered tells whether its order is in force.
+func (r *Record) eligibility(ordered bool) eligibility {
+	s := eligibility{barred: slices.Clone(r.Barred)}
 	switch {
 	case r.State == Done:
 		s.barred = append(s.barred, r.Base...)
@@ -40,15 +40,15 @@
 	return s
 }
 
-// Figures of the trial's targets.
+// Number of targets that take part in a trial.
 const (
-	// spreadFactor is how many times the part of the targets that bears the trial is the part of
-	// its requests: about one, so that they work under the load of the old ones.
-	spreadFactor = 1.25
-	leastSpread  = 4 // targets: what strikes one is told from what its version does
+	// trialTargetFactor is the fraction of targets in the trial over the fraction of requests in it.
+	// It is about 1, so that trial targets work under the same load as the old ones.
+	trialTargetFactor = 1.25
+	minTrialTargets   = 4 // targets: a fault of one target can then be told from a fault of the version
 )
 
-// TrialTargets is how many targets bear a part of the requests that so many old targets had.
+// TrialTargets is how many targets take the given share of the requests that old targets had.
 func TrialTargets(old int, share float64) int {
-	return max(int(math.Ceil(spreadFactor*share*float64(old))), leastSpread)
+	return max(int(math.Ceil(trialTargetFactor*share*float64(old))), minTrialTargets)
 }
