--- a/router/quarantine/cleared.go
+++ b/router/quarantine/cleared.go
@@ -1,12 +1,12 @@
 package quarantine
 
-// clearedGeneration is how many whole answers a generation of the memory has. Two are kept,
-// so that the newest 2,048 at least are known: over a minute at 30 requests a second, for
-// 150 KB. A request that many callers repeat is remembered anew each time.
-const clearedGeneration = 2048
+// clearedGenerationSize is the number of completed requests in a generation. Two generations are kept,
+// so that at least the newest 2,048 are known: over a minute at 30 requests per second, in 150 KB. A
+// request that many callers repeat is added anew each time.
+const clearedGenerationSize = 2048
 
-// clearedSet remembers the digests of requests that came whole of late: they ran and did
-// not crash their target. It is not safe for concurrent use.
+// clearedSet remembers the digests of recently completed requests: they ran and did not crash their
+// target. It is not safe for concurrent use.
 type clearedSet struct {
 	newer, older map[Digest]struct{}
 }
@@ -16,8 +16,8 @@
 }
 
 func (s *clearedSet) add(d Digest) {
-	if len(s.newer) >= clearedGeneration {
-		s.older, s.newer = s.newer, make(map[Digest]struct{}, clearedGeneration)
+	if len(s.newer) >= clearedGenerationSize {
+		s.older, s.newer = s.newer, make(map[Digest]struct{}, clearedGenerationSize)
 	}
 	s.newer[d] = struct{}{}
 }
--- a/router/quarantine/digest.go
+++ b/router/quarantine/digest.go
@@ -1,6 +1,5 @@
-// Package quarantine knows the requests that crash the targets that run them, so that
-// hosts stop sending them. A request is known by what it asks for, not by its id, which is
-// another one each time that it comes.
+// Package quarantine identifies requests that crash the targets that run them, so that hosts stop
+// sending them. A request is identified by its content, as its id differs at each attempt.
 package quarantine
 
 import (
@@ -11,25 +10,25 @@
 	"hash"
 )
 
-// digestBytes is the length of a Digest. It is long enough that no caller finds a request
-// of another one's digest: that takes some 2^64 tries for any two of his own, and the
-// organisation is part of what is digested.
+// digestBytes is the length of a Digest. It is long enough that no caller can find a request with the
+// digest of another caller's request: a collision between any two requests of his own takes some 2^64
+// tries, and the organisation is part of the digest.
 const digestBytes = 16
 
-// Digest names all requests that ask the same of the same service for the same organisation.
-// It is the same at all hosts and in all their incarnations.
+// Digest identifies all requests with the same content for the same organisation. It is the same at
+// all hosts and in all their incarnations.
 type Digest [digestBytes]byte
 
-// Content is what makes two requests the same.
+// Content is what makes two requests equal.
 type Content struct {
-	Organisation string // empty: none is asked for
+	Organisation string // empty: the route requires none
 	Method       string
 	Host         string
-	URI          string // path and query as on the wire
+	URI          string // path and query as received
 	Body         []byte
 }
 
-// Digest digests the content.
+// Digest returns the digest of the content.
 func (c Content) Digest() Digest {
 	h := sha256.New()
 	for _, field := range []string{c.Organisation, c.Method, c.Host, c.URI} {
@@ -39,21 +38,21 @@
 	return Digest(h.Sum(nil)[:digestBytes])
 }
 
-// writeField adds a field with its length, so that no byte can move into the next one.
+// writeField adds a field, prefixed with its length, so that different contents can't have the same encoding.
 func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-	h.Write(length[:]) // a hash never fails
+	h.Write(length[:]) // a hash never returns an error
 	h.Write(field)
 }
 
-// String is the digest in hexadecimal digits.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ErrDigest means that a text is no digest.
-var ErrDigest = errors.New("quarantine: not a digest")
+// ErrDigest means that a text is not a digest.
+var ErrDigest = errors.New("quarantine: text is not a digest")
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses what String returns.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	if len(text) != hex.EncodedLen(digestBytes) {
--- a/router/quarantine/digest_test.go
+++ b/router/quarantine/digest_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDigestTellsContentsApart(t *testing.T) {
+func TestDigestDistinguishesContents(t *testing.T) {
 	is := is.New(t)
 	same := Content{Organisation: "o", Method: "POST", Host: "a.example", URI: "/r/x?q", Body: []byte("body")}
 	is.Equal(same.Digest(), Content{Organisation: "o", Method: "POST", Host: "a.example", URI: "/r/x?q", Body: []byte("body")}.Digest())
@@ -22,8 +22,8 @@
 	}
 }
 
-// The digest is spoken between hosts of different versions and kept in the log.
-func TestDigestStaysWhatItIs(t *testing.T) {
+// Hosts of different versions exchange digests and the log stores them, so their values must not change.
+func TestDigestIsStable(t *testing.T) {
 	is := is.New(t)
 	d := Content{Organisation: "o", Method: "POST", Host: "a.example", URI: "/r/x", Body: []byte("body")}.Digest()
 	is.Equal(d.String(), "666c3eb3cb11a68b19da1dc6db00be3d")
--- a/router/quarantine/entry.go
+++ b/router/quarantine/entry.go
@@ -11,60 +11,62 @@
 	Digest       Digest    `json:"digest"`
 	Organisation string    `json:"organisation"`
 	Service      string    `json:"service"`
-	RequestID    string    `json:"request"` // the newest id under which it came
-	Targets      []string  `json:"targets"` // that ended under it
+	RequestID    string    `json:"request"` // the newest id of the request
+	Targets      []string  `json:"targets"` // that exited under it
 	Host         string    `json:"host"`    // that decided it
 	At           time.Time `json:"at"`
 }
 
-// Notice tells another host that a request is in quarantine, or not any more.
+// Notice tells another host that a request is in quarantine, or no longer.
 type Notice struct {
 	Entry  Entry `json:"entry"`
 	Lifted bool  `json:"lifted"`
 }
 
-// maxEntries bounds the requests in quarantine; the oldest give way.
+// maxEntries bounds the requests in quarantine; the oldest are evicted.
 const maxEntries = 1024
 
-// MarshalText writes the digest in hexadecimal digits.
+// MarshalText returns the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses what MarshalText returns.
 func (d *Digest) UnmarshalText(text []byte) error {
 	parsed, err := ParseDigest(string(text))
 	*d = parsed
 	return err
 }
 
-// KeyPrefix begins the keys of entries in the topic where they last; the digest follows.
+// KeyPrefix is the prefix of entries' keys in the topic; the digest follows.
 const KeyPrefix = "quarantine/"
 
 func (e Entry) key() string { return KeyPrefix + e.Digest.String() }
 
-// parseEntry reads an entry as it lies in the topic under a digest.
+// parseEntry parses an entry stored under a digest's key.
 func parseEntry(d Digest, value []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(value, &e); err != nil {
-		return e, fmt.Errorf("quarantine: entry: %w", err)
+		return e, fmt.Errorf("quarantine: decoding an entry: %w", err)
 	}
 	if e.Digest != d {
-		return e, fmt.Errorf("quarantine: entry of %s lies under %s", e.Digest, d)
+		return e, fmt.Errorf("quarantine: entry of %s is stored under the key of %s", e.Digest, d)
 	}
 	return e, nil
 }
 
-// list is the requests in quarantine that a host knows of. It is not safe for concurrent use.
-type list struct {
-	entries map[Digest]Entry
-	kept    map[Digest]bool // they were read from the topic
+// entryList is the requests in quarantine that a host knows of. It is not safe for concurrent use.
+type entryList struct {
+	entries   map[Digest]Entry
+	persisted map[Digest]bool // were read from the topic
 }
 
-func newList() *list { return &list{entries: map[Digest]Entry{}, kept: map[Digest]bool{}} }
+func newEntryList() *entryList {
+	return &entryList{entries: map[Digest]Entry{}, persisted: map[Digest]bool{}}
+}
 
-// add takes an entry in; dropped are those that gave way. added is false if it was known.
-func (l *list) add(e Entry, kept bool) (added bool, dropped []Entry) {
-	if kept {
-		l.kept[e.Digest] = true
+// add adds an entry. added is false if it was known; dropped are the evicted entries.
+func (l *entryList) add(e Entry, persisted bool) (added bool, dropped []Entry) {
+	if persisted {
+		l.persisted[e.Digest] = true
 	}
 	if _, known := l.entries[e.Digest]; known {
 		return false, nil
@@ -78,14 +80,14 @@
 	return true, dropped
 }
 
-func (l *list) remove(d Digest) (e Entry, had bool) {
+func (l *entryList) remove(d Digest) (e Entry, had bool) {
 	e, had = l.entries[d]
 	delete(l.entries, d)
-	delete(l.kept, d)
+	delete(l.persisted, d)
 	return e, had
 }
 
-func (l *list) oldest() Entry {
+func (l *entryList) oldest() Entry {
 	var oldest Entry
 	for _, e := range l.entries {
 		if oldest.At.IsZero() || e.At.Before(oldest.At) {
@@ -95,11 +97,11 @@
 	return oldest
 }
 
-// unkept lists the entries that were heard from hosts and not read from the topic yet.
-func (l *list) unkept() []Entry {
+// unpersisted lists the entries received from hosts that were not read from the topic yet.
+func (l *entryList) unpersisted() []Entry {
 	var entries []Entry
 	for d, e := range l.entries {
-		if !l.kept[d] {
+		if !l.persisted[d] {
 			entries = append(entries, e)
 		}
 	}
--- a/router/quarantine/fleet_test.go
+++ b/router/quarantine/fleet_test.go
@@ -25,49 +25,49 @@
 	m.Run()
 }
 
-// The load: a request that ends each target 0.1 s after it begins to run comes again all the
-// time, at any host of a fleet, under new ids. Targets are back after three seconds; each
-// end breaks what they had under way, of many hosts. The figures of the bounds are those of
-// a fleet whose hosts have to know within three seconds.
+// The load: a request that crashes each target 0.1 s after it begins to run arrives all the time, at
+// any host, under new ids. Targets restart within three seconds; each exit interrupts their requests
+// from many hosts. The bounds are those of a fleet whose hosts must know the request within three
+// seconds.
 
-// Figures of the load.
+// Parameters of the load.
 const (
-	simContact   = 3 * time.Second // hosts that had no trouble for so long are in touch
-	simCrash     = 100 * time.Millisecond
-	simBack      = 3 * time.Second
-	simTargets   = 30
-	simBystander = 12 // requests of others that one end breaks
-	simLogPace   = 3 * time.Second
+	simReconnect  = 3 * time.Second // hosts without trouble for this long count as connected
+	simCrash      = 100 * time.Millisecond
+	simRestart    = 3 * time.Second
+	simTargets    = 30
+	simBystanders = 12 // other requests that one exit interrupts
+	simLogPoll    = 3 * time.Second
 )
 
-var errCut = errors.New("cut off")
+var errDisconnected = errors.New("disconnected")
 
 // simFleet is a fleet of guards in one process and in virtual time.
 type simFleet struct {
-	t        *testing.T
-	counting int // hosts that count the ends under a request
-	logAway  bool
-	asleep   bool // hosts that are cut off stand still, and send nothing
-
-	mu      sync.Mutex
-	hosts   []*simHost
-	records []eventlog.Record // of the topic
-	calls   int
-	bytes   int
-	ends    []time.Time
-	late    int
-	targets []time.Time // when each is back
-	life    int
+	t              *testing.T
+	counting       int // number of hosts that count the exits under a request
+	logUnavailable bool
+	paused         bool // disconnected hosts are paused and send nothing
+
+	mu          sync.Mutex
+	hosts       []*simHost
+	records     []eventlog.Record // of the topic
+	calls       int
+	bytes       int
+	exits       []time.Time
+	sentLate    int
+	targets     []time.Time // when each has restarted
+	incarnation int
 }
 
 // simHost is one host.
 type simHost struct {
-	fleet *simFleet
-	name  string
-	guard *Guard
-	cutAt time.Time // it is cut off from all from then
-	until time.Time // to then
-	read  int       // records of the topic
+	fleet          *simFleet
+	name           string
+	guard          *Guard
+	disconnectedAt time.Time // it is disconnected from all others from then
+	reconnectedAt  time.Time // until then
+	read           int       // records of the topic
 }
 
 func newSimFleet(t *testing.T, hosts, counting int) *simFleet {
@@ -90,30 +90,32 @@
 	return h
 }
 
-func (h *simHost) cut(now time.Time) bool { return !now.Before(h.cutAt) && now.Before(h.until) }
+func (h *simHost) disconnected(now time.Time) bool {
+	return !now.Before(h.disconnectedAt) && now.Before(h.reconnectedAt)
+}
 
-// inTouch says whether the host had no trouble for a while.
-func (h *simHost) inTouch(now time.Time) bool {
-	return h.until.IsZero() || now.Before(h.cutAt) || now.Sub(h.until) >= simContact
+// connected reports whether the host had no trouble for a while.
+func (h *simHost) connected(now time.Time) bool {
+	return h.reconnectedAt.IsZero() || now.Before(h.disconnectedAt) || now.Sub(h.reconnectedAt) >= simReconnect
 }
 
-func (h *simHost) CountingHosts(d Digest) (others []string, place int) {
+func (h *simHost) CountingHosts(d Digest) (others []string, rank int) {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	ranked := rendezvous.Rank(d.String(), h.fleet.hosts, func(o *simHost) string { return o.name })
 	ranked = ranked[:min(len(ranked), h.fleet.counting)]
-	place = len(ranked)
+	rank = len(ranked)
 	for i, o := range ranked {
 		if o == h {
-			place = i
+			rank = i
 			continue
 		}
 		others = append(others, o.name)
 	}
-	return others, place
+	return others, rank
 }
 
-// call counts a call and gives the host that gets it.
+// call counts a call and returns the host that receives it.
 func (h *simHost) call(name string, ask any) (*simHost, error) {
 	data, err := json.Marshal(ask)
 	if err != nil {
@@ -126,11 +128,11 @@
 	f.bytes += len(data)
 	now := time.Now()
 	for _, o := range f.hosts {
-		if o.name == name && !o.cut(now) && !h.cut(now) {
+		if o.name == name && !o.disconnected(now) && !h.disconnected(now) {
 			return o, nil
 		}
 	}
-	return nil, errCut
+	return nil, errDisconnected
 }
 
 func (h *simHost) Report(_ context.Context, address string, reports []Report) error {
@@ -176,8 +178,8 @@
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.logAway || h.cut(time.Now()) {
-		return errCut
+	if f.logUnavailable || h.disconnected(time.Now()) {
+		return errDisconnected
 	}
 	rec.Offset = int64(len(f.records))
 	f.records = append(f.records, rec)
@@ -189,7 +191,7 @@
 	for ctx.Err() == nil {
 		h.fleet.mu.Lock()
 		var changes []replica.Change
-		if !h.fleet.logAway && !h.cut(time.Now()) {
+		if !h.fleet.logUnavailable && !h.disconnected(time.Now()) {
 			for _, rec := range h.fleet.records[h.read:] {
 				changes = append(changes, replica.Change{Record: rec})
 			}
@@ -197,7 +199,7 @@
 		}
 		h.fleet.mu.Unlock()
 		h.guard.ApplyChanges(changes)
-		time.Sleep(simLogPace)
+		time.Sleep(simLogPoll)
 	}
 }
 
@@ -213,49 +215,49 @@
 	go h.follow(ctx)
 }
 
-// finish ends the hosts and waits for what they still do.
+// finish stops the hosts and waits for their goroutines.
 func (f *simFleet) finish(stop func()) {
 	f.mu.Lock()
-	f.logAway = false
+	f.logUnavailable = false
 	f.mu.Unlock()
 	stop()
 	time.Sleep(30 * time.Second)
 }
 
-// send lets a host send the guilty request.
-func (f *simFleet) send(h *simHost, guilty Digest) {
-	if h.guard.IsQuarantined(guilty) {
+// send sends the crashing request through a host.
+func (f *simFleet) send(h *simHost, crasher Digest) {
+	if h.guard.IsQuarantined(crasher) {
 		return
 	}
 	now := time.Now()
-	if f.asleep && h.cut(now) {
+	if f.paused && h.disconnected(now) {
 		return
 	}
 	f.mu.Lock()
-	place := rand.IntN(len(f.targets))
-	if now.Before(f.targets[place]) {
+	slot := rand.IntN(len(f.targets))
+	if now.Before(f.targets[slot]) {
 		f.mu.Unlock()
-		return // nobody is there: not sent
+		return // the target has not restarted: not sent
 	}
-	if len(f.ends) >= 3 && now.Sub(f.ends[2]) > simContact && h.inTouch(now) {
-		f.late++
+	if len(f.exits) >= 3 && now.Sub(f.exits[2]) > simReconnect && h.connected(now) {
+		f.sentLate++
 	}
-	f.targets[place] = now.Add(simCrash + simBack)
-	f.life++
-	target := fmt.Sprintf("target-%d-%d", place, f.life)
+	f.targets[slot] = now.Add(simCrash + simRestart)
+	f.incarnation++
+	target := fmt.Sprintf("target-%d-%d", slot, f.incarnation)
 	f.mu.Unlock()
 	time.Sleep(simCrash)
-	f.end(h, guilty, target)
+	f.exitTarget(h, crasher, target)
 }
 
-// end lets a target end: all that it had under way breaks.
-func (f *simFleet) end(h *simHost, guilty Digest, target string) {
+// exitTarget makes a target exit, which interrupts all its requests.
+func (f *simFleet) exitTarget(h *simHost, crasher Digest, target string) {
 	f.mu.Lock()
-	f.ends = append(f.ends, time.Now())
+	f.exits = append(f.exits, time.Now())
 	hosts := f.hosts
 	f.mu.Unlock()
-	h.guard.RecordExit(Report{Digest: guilty, Target: target, RequestID: "id", Early: true})
-	for range simBystander {
+	h.guard.RecordExit(Report{Digest: crasher, Target: target, RequestID: "id", Early: true})
+	for range simBystanders {
 		var d Digest
 		for i := range d {
 			d[i] = byte(rand.Uint32())
@@ -264,19 +266,19 @@
 	}
 }
 
-// play sends the guilty request at random hosts for a while.
-func (f *simFleet) play(guilty Digest, d, every time.Duration) {
+// sendFor sends the crashing request through random hosts for a while.
+func (f *simFleet) sendFor(crasher Digest, d, every time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(every) {
 		f.mu.Lock()
 		h := f.hosts[rand.IntN(len(f.hosts))]
 		f.mu.Unlock()
-		go f.send(h, guilty)
+		go f.send(h, crasher)
 	}
 }
 
-var guilty = Content{URI: "/guilty"}.Digest()
+var crasher = Content{URI: "/guilty"}.Digest()
 
-// All hosts together send the request at most three times later than allowed.
+// All hosts together send the request too late at most three times.
 func TestFleetStopsARequestThatCrashesTargets(t *testing.T) {
 	for _, hosts := range []int{1, 2, 8, 87, 300} {
 		for _, every := range []time.Duration{250 * time.Millisecond, 20 * time.Millisecond, 2 * time.Second} {
@@ -285,71 +287,71 @@
 					ctx, stop := context.WithCancel(context.Background())
 					f := newSimFleet(t, hosts, 3)
 					f.start(ctx)
-					f.play(guilty, 25*time.Second, every)
+					f.sendFor(crasher, 25*time.Second, every)
 					f.finish(stop)
-					t.Logf("%d ends, %d sent late", len(f.ends), f.late)
-					is.New(t).True(f.late <= 3)
-					is.New(t).True(len(f.ends) >= 3)
+					t.Logf("%d exits, %d sent late", len(f.exits), f.sentLate)
+					is.New(t).True(f.sentLate <= 3)
+					is.New(t).True(len(f.exits) >= 3)
 				})
 			})
 		}
 	}
 }
 
-// The same with a third of the hosts cut off or suspended as it begins, with the log away, and
-// with hosts that start in the middle: those that come back or start learn it from the
-// log or from others before they are in touch.
-func TestFleetStopsItThroughFaults(t *testing.T) {
+// The same while a third of the hosts is disconnected or paused from the start, while the log is
+// unavailable, and with hosts that start in the middle: hosts that return or start learn of the request
+// from the log or from others before they count as connected.
+func TestFleetStopsCrashingRequestDespiteFaults(t *testing.T) {
 	for _, c := range []struct {
 		name              string
-		cut, asleep, away bool
+		disconnect, pause, logUnavailable bool
 		joinsLater        bool
 	}{
-		{name: "a third cut off", cut: true}, {name: "a third suspended", cut: true, asleep: true}, {name: "log away", away: true},
-		{name: "hosts start later", joinsLater: true}, {name: "cut off, and hosts start later", cut: true, joinsLater: true},
+		{name: "a third disconnected", disconnect: true}, {name: "a third paused", disconnect: true, pause: true}, {name: "log unavailable", logUnavailable: true},
+		{name: "hosts start later", joinsLater: true}, {name: "a third disconnected, and hosts start later", disconnect: true, joinsLater: true},
 	} {
 		for seed := range 5 {
 			t.Run(fmt.Sprintf("%s %d", c.name, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, stop := context.WithCancel(context.Background())
 					f := newSimFleet(t, 60, 3)
-					f.logAway, f.asleep = c.away, c.asleep
+					f.logUnavailable, f.paused = c.logUnavailable, c.pause
 					now := time.Now()
-					if c.cut {
+					if c.disconnect {
 						for _, h := range f.hosts[:20] {
-							h.cutAt, h.until = now.Add(time.Duration(rand.IntN(2000))*time.Millisecond), now.Add(9*time.Second)
+							h.disconnectedAt, h.reconnectedAt = now.Add(time.Duration(rand.IntN(2000))*time.Millisecond), now.Add(9*time.Second)
 						}
 					}
 					f.start(ctx)
-					f.play(guilty, 6*time.Second, 100*time.Millisecond)
+					f.sendFor(crasher, 6*time.Second, 100*time.Millisecond)
 					if c.joinsLater {
 						for range 30 {
 							h := f.addHost()
-							h.cutAt, h.until = time.Now(), time.Now() // it is in touch later
+							h.disconnectedAt, h.reconnectedAt = time.Now(), time.Now() // it is connected later
 							h.run(ctx)
 							synctest.Wait() // it has read the topic before it is ready
 						}
 					}
-					f.play(guilty, 12*time.Second, 100*time.Millisecond)
+					f.sendFor(crasher, 12*time.Second, 100*time.Millisecond)
 					f.finish(stop)
-					t.Logf("%d ends, %d sent late", len(f.ends), f.late)
-					is.New(t).True(f.late <= 3)
+					t.Logf("%d exits, %d sent late", len(f.exits), f.sentLate)
+					is.New(t).True(f.sentLate <= 3)
 				})
 			})
 		}
 	}
 }
 
-// A request that many callers repeat is under way at every end, and never held: it comes
-// whole somewhere.
-func TestHotRequestIsNeverHeld(t *testing.T) {
+// A request that many callers repeat is in flight at every exit and must not be quarantined, as it
+// completes somewhere.
+func TestHotRequestIsNeverQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(context.Background())
 		f := newSimFleet(t, 87, 3)
 		f.start(ctx)
 		hot := Content{URI: "/hot"}.Digest()
-		f.hosts[5].guard.RecordCompletion(hot) // just one host saw it whole
+		f.hosts[5].guard.RecordCompletion(hot) // just one host saw it complete
 		for i := range 12 {
 			for n := range 20 {
 				f.hosts[10+n].guard.RecordExit(Report{Digest: hot, Target: fmt.Sprintf("target-%d", i), Early: true})
@@ -363,9 +365,9 @@
 	})
 }
 
-// What the two ways cost: to count at three hosts and tell all of the decision, or to tell
-// all hosts of each end.
-func TestCostOfCountingPlaces(t *testing.T) {
+// Compares the costs of both designs: counting at three hosts that notify all of the decision, or
+// reporting each exit to all hosts.
+func TestCostOfCountingHosts(t *testing.T) {
 	for _, hosts := range []int{8, 87, 300} {
 		for _, everywhere := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
@@ -376,10 +378,10 @@
 				}
 				f := newSimFleet(t, hosts, counting)
 				f.start(ctx)
-				f.play(guilty, 10*time.Second, 250*time.Millisecond)
+				f.sendFor(crasher, 10*time.Second, 250*time.Millisecond)
 				f.finish(stop)
-				t.Logf("%d hosts, ends counted at %d: %d ends, %d sent late, %d calls, %d kB", hosts, counting, len(f.ends), f.late, f.calls, f.bytes/1000)
-				is.New(t).True(f.late <= 3)
+				t.Logf("%d hosts, exits counted at %d: %d exits, %d sent late, %d calls, %d kB", hosts, counting, len(f.exits), f.sentLate, f.calls, f.bytes/1000)
+				is.New(t).True(f.sentLate <= 3)
 			})
 		}
 	}
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -17,75 +17,75 @@
 
 // Peers are the other hosts.
 type Peers interface {
-	// CountingHosts lists the addresses of the hosts that count the ends under a request,
-	// which are the same at all hosts, without this host. place is this host's place among
-	// them, or their number if it is none.
-	CountingHosts(d Digest) (others []string, place int)
-	// Report tells a counting host of ends.
+	// CountingHosts lists the addresses of the hosts that count the target exits under a request,
+	// without this host. All hosts get the same ranking. rank is this host's rank in it, or the number
+	// of counting hosts if it is none.
+	CountingHosts(d Digest) (others []string, rank int)
+	// Report reports target exits to a counting host.
 	Report(ctx context.Context, address string, reports []Report) error
-	// Cleared asks all hosts whether a request came whole somewhere.
+	// Cleared asks all hosts whether a request completed at one of them.
 	Cleared(ctx context.Context, d Digest) bool
-	// Broadcast gives a notice to all hosts.
+	// Broadcast sends a notice to all hosts.
 	Broadcast(ctx context.Context, n Notice)
 }
 
 // Options configure a Guard.
 type Options struct {
 	Host string // this host's name
-	// Write puts a record into the topic where entries last. It returns nil once the record
-	// is there.
+	// Write writes a record to the topic that stores entries. It returns nil once the record is
+	// stored.
 	Write func(ctx context.Context, rec eventlog.Record) error
-	// OnQuarantine is told of each request that came into quarantine; it must not block.
+	// OnQuarantine is called for each request that was quarantined; it must not block.
 	OnQuarantine func(d Digest)
-	// Count counts what happens.
+	// Count increments a counter.
 	Count func(name string)
 	// Go starts a goroutine.
 	Go func(duty string, f func())
 }
 
-// Guard finds the requests that crash targets and keeps them from being sent.
+// Guard detects the requests that crash targets and keeps them from being sent.
 //
-// Pattern: a request that is deadly to whoever runs it and comes again, at any host, under
-// another id each time. No host sees more than a part of its tries, so ends are counted at a
-// few hosts, which rendezvous hashing picks for each request. They hold it when three targets
-// ended under it, unless a host knows a whole answer to it, tell all hosts, and write it
-// where it lasts, for hosts that start later or could not be reached.
+// Pattern: a request that crashes any target that runs it may come again at any host, each time under
+// another id. No host sees more than some of its attempts, so target exits are counted at a few hosts,
+// chosen for each request by rendezvous hashing. They quarantine the request when three targets exited
+// under it, unless a host has seen it complete, notify all hosts, and write an entry to the log for
+// hosts that start later or could not be reached.
 //
-// The other way is to tell all hosts of each end: each then decides by itself. Until one
-// request is held, whose three ends break 13 requests each, 300 hosts make 11,960 calls of 1.6 MB
-// then, against 714 of 0.09 MB; 8 hosts make 161 against 93 (simulated; no send was too late
-// either way).
+// The alternative is to report each exit to all hosts, each of which then decides by itself. For one
+// request to be quarantined, with 13 requests interrupted by each of three exits, 300 hosts then make
+// 11,960 calls of 1.6 MB in total, instead of 714 calls of 0.09 MB; 8 hosts make 161 instead of 93
+// (simulated; neither way sent the request too late).
 type Guard struct {
-	opts    Options
-	peers   Peers
-	reports chan Report
-	holding atomic.Bool // the list is not empty
-
-	mu      sync.Mutex
-	cleared *clearedSet
-	tally   *tally
-	list    *list
-	judging map[Digest]bool
+	opts     Options
+	peers    Peers
+	reports  chan Report
+	nonEmpty atomic.Bool // there are entries
+
+	mu       sync.Mutex
+	cleared  *clearedSet
+	tally    *tally
+	list     *entryList
+	deciding map[Digest]bool
 }
 
-// maxReports bounds the reports that wait to be sent. One end breaks at most as many
-// requests of a host as a target has slots.
+// maxReports bounds the reports waiting to be sent. One exit interrupts at most as many requests of a
+// host as a target has slots.
 const maxReports = 512
 
-// New makes a guard that knows nothing; Run sends its reports.
+// New makes a guard without entries; Run sends its reports.
 func New(opts Options) *Guard {
 	return &Guard{
 		opts: opts, reports: make(chan Report, maxReports),
-		cleared: newClearedSet(), tally: newTally(), list: newList(), judging: map[Digest]bool{},
+		cleared: newClearedSet(), tally: newTally(), list: newEntryList(), deciding: map[Digest]bool{},
 	}
 }
 
-// SetPeers tells the other hosts. It is called once, before the guard is used.
+// SetPeers sets the other hosts. It is called once, before the guard is used.
 func (g *Guard) SetPeers(p Peers) { g.peers = p }
 
-// IsQuarantined says whether a request is in quarantine.
+// IsQuarantined reports whether a request is in quarantine.
 func (g *Guard) IsQuarantined(d Digest) bool {
-	if !g.holding.Load() {
+	if !g.nonEmpty.Load() {
 		return false
 	}
 	g.mu.Lock()
@@ -108,18 +108,18 @@
 	return slices.Collect(maps.Values(g.list.entries))
 }
 
-// TargetExits counts the ends of targets under a request that this host knows of.
+// TargetExits counts the target exits under a request that this host knows of.
 func (g *Guard) TargetExits(d Digest) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tally.ends(d)
+	return g.tally.exits(d)
 }
 
-// IsEarlyExit says whether a request that broke off so long after its first event, 0 before it,
-// counts as just begun.
-func IsEarlyExit(ran time.Duration) bool { return ran < youngRun }
+// IsEarlyExit reports whether a target exit counts as early if it interrupted a request this long after
+// its first event; 0: before it.
+func IsEarlyExit(ran time.Duration) bool { return ran < earlyExitWindow }
 
-// RecordCompletion notes that a target ran a request to its end.
+// RecordCompletion notes that a target completed a request.
 func (g *Guard) RecordCompletion(d Digest) {
 	g.mu.Lock()
 	g.cleared.add(d)
@@ -127,18 +127,18 @@
 	_, held := g.list.entries[d]
 	g.mu.Unlock()
 	if held {
-		g.lift(d, "it came whole")
+		g.lift(d, "the request completed")
 	}
 }
 
-// IsCleared says whether this host knows a whole answer to a request.
+// IsCleared reports whether this host has seen a request complete.
 func (g *Guard) IsCleared(d Digest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.cleared.has(d)
 }
 
-// RecordExit notes that a request of this host broke off because its target ended.
+// RecordExit notes that a request of this host was interrupted because its target exited.
 func (g *Guard) RecordExit(r Report) {
 	if g.IsCleared(r.Digest) {
 		return
@@ -162,29 +162,29 @@
 			continue
 		}
 		s := g.tally.add(r, now)
-		if s != nil && s.guilty() && !g.judging[r.Digest] {
-			g.judging[r.Digest] = true
-			g.opts.Go("quarantine", func() { g.judge(r.Digest) })
+		if s != nil && s.sufficient() && !g.deciding[r.Digest] {
+			g.deciding[r.Digest] = true
+			g.opts.Go("quarantine", func() { g.decide(r.Digest) })
 		}
 	}
 }
 
-// HandleNotice takes in what another host decided. A host that knows a whole answer objects.
+// HandleNotice applies another host's decision. A host that has seen the request complete lifts it.
 func (g *Guard) HandleNotice(n Notice) {
 	d := n.Entry.Digest
 	switch {
 	case n.Lifted:
-		g.release(d, "another host lifted it")
+		g.removeEntry(d, "another host lifted it")
 	case g.IsCleared(d):
-		g.hold(n.Entry, false)
-		g.lift(d, "it came whole here")
+		g.addEntry(n.Entry, false)
+		g.lift(d, "the request completed at this host")
 	default:
-		g.hold(n.Entry, false)
+		g.addEntry(n.Entry, false)
 	}
 }
 
-// ApplyChanges takes in records of the topic where entries last. One without a value lifts the
-// quarantine: an operator's, or a host's.
+// ApplyChanges applies records of the topic that stores entries. A record without a value, written by an
+// operator or a host, lifts the quarantine.
 func (g *Guard) ApplyChanges(changes []replica.Change) {
 	for _, c := range changes {
 		text, ok := strings.CutPrefix(c.Record.Key, KeyPrefix)
@@ -193,29 +193,29 @@
 		}
 		d, err := ParseDigest(text)
 		if err != nil {
-			log.WithField("key", c.Record.Key).WithError(err).Error("quarantine record can't be read and is ignored")
+			log.WithField("key", c.Record.Key).WithError(err).Error("ignoring an invalid quarantine record")
 			continue
 		}
 		if len(c.Record.Value) == 0 {
-			g.release(d, "its record was deleted")
+			g.removeEntry(d, "its record was deleted")
 			continue
 		}
 		e, err := parseEntry(d, c.Record.Value)
 		if err != nil {
-			log.WithField("digest", d).WithError(err).Error("quarantine record can't be read and is ignored")
+			log.WithField("digest", d).WithError(err).Error("ignoring an invalid quarantine record")
 			continue
 		}
-		g.hold(e, true)
+		g.addEntry(e, true)
 	}
 }
 
-// Unpersisted lists the entries that are not known to be in the topic yet: hosts that can't read
-// it take them from each other.
+// Unpersisted lists the entries that were not read back from the topic yet: hosts that can't read the
+// topic get them from each other.
 func (g *Guard) Unpersisted() []Entry {
-	if !g.holding.Load() {
+	if !g.nonEmpty.Load() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.list.unkept()
+	return g.list.unpersisted()
 }
--- a/router/quarantine/reports.go
+++ b/router/quarantine/reports.go
@@ -9,11 +9,11 @@
 	"maststage.dev/lib/wait"
 )
 
-// Figures of reports.
+// Timing of reports.
 const (
-	// reportEvery gathers what one end broke into one call to each counting host.
-	reportEvery   = 5 * time.Millisecond
-	reportTimeout = 500 * time.Millisecond
+	// reportBatchDelay batches the requests that one exit interrupted into one call per counting host.
+	reportBatchDelay = 5 * time.Millisecond
+	reportTimeout    = 500 * time.Millisecond
 )
 
 // Run sends reports to the counting hosts until ctx ends.
@@ -23,13 +23,13 @@
 		case <-ctx.Done():
 			return
 		case r := <-g.reports:
-			wait.For(ctx, reportEvery)
+			wait.For(ctx, reportBatchDelay)
 			g.send(ctx, g.gather(r))
 		}
 	}
 }
 
-// gather takes the reports that wait, by the host that counts them.
+// gather collects the waiting reports by counting host.
 func (g *Guard) gather(r Report) map[string][]Report {
 	byHost := map[string][]Report{}
 	for {
@@ -53,7 +53,7 @@
 			outcome := "ok"
 			if err := g.peers.Report(call, address, reports); err != nil {
 				outcome = "failed"
-				log.WithFields(log.Fields{"peer": address, "reports": len(reports)}).WithError(err).Info("report of a target's end failed")
+				log.WithFields(log.Fields{"peer": address, "reports": len(reports)}).WithError(err).Info("reporting target exits to a counting host failed")
 			}
 			g.opts.Count(`quarantine_reports_total{outcome="` + outcome + `"}`)
 		})
