--- a/router/node/accounts.go
+++ b/router/node/accounts.go
@@ -11,24 +11,24 @@
 	"maststage.dev/router/settings"
 )
 
-// mostAccounts bounds the lines about budgets that are written at a time.
-const mostAccounts = 200
+// maxBalanceLines bounds the balance lines that are logged at a time.
+const maxBalanceLines = 200
 
-// tellAccounts writes now and again where this host's part of each budget came from and
-// went to, until ctx ends. The lines of all hosts together tell where an organisation's
-// tokens are. The function that it gives ends it with a last line for each.
-func (n *Node) tellAccounts(ctx context.Context) (last func()) {
+// startBalanceLog logs at intervals where this host's allocation of each budget came from and went
+// to, until ctx ends. The lines of all hosts together account for all tokens of an organisation. The
+// function that it returns stops it and logs a last line for each budget.
+func (n *Node) startBalanceLog(ctx context.Context) (last func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var telling sync.WaitGroup
-	telling.Go(func() { n.tellUntil(ctx) })
+	var running sync.WaitGroup
+	running.Go(func() { n.logBalances(ctx) })
 	return func() {
 		cancel()
-		telling.Wait()
-		n.accounts.tell(n.treasury.Holdings())
+		running.Wait()
+		n.balances.write(n.treasury.Holdings())
 	}
 }
 
-func (n *Node) tellUntil(ctx context.Context) {
+func (n *Node) logBalances(ctx context.Context) {
 	if n.cfg.Output.AccountS <= 0 {
 		return
 	}
@@ -39,37 +39,37 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			n.accounts.tell(n.treasury.Holdings())
+			n.balances.write(n.treasury.Holdings())
 			n.calls.Tell()
 		}
 	}
 }
 
-// accounts writes lines about budgets whose tokens moved since the line before.
-type accounts struct {
+// balanceLog logs the balances of budgets whose tokens moved since the last line.
+type balanceLog struct {
 	incarnation string
 
-	mu   sync.Mutex
-	told map[string]prepaid.Holding
+	mu     sync.Mutex
+	logged map[string]prepaid.Holding
 }
 
-func newAccounts(incarnation string) *accounts {
-	return &accounts{incarnation: incarnation, told: map[string]prepaid.Holding{}}
+func newBalanceLog(incarnation string) *balanceLog {
+	return &balanceLog{incarnation: incarnation, logged: map[string]prepaid.Holding{}}
 }
 
-// tell writes a line for each holding that changed.
-func (a *accounts) tell(list []prepaid.Holding) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// write logs a line for each holding that changed.
+func (b *balanceLog) write(list []prepaid.Holding) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	lines := 0
 	for _, h := range list {
-		if h.Totals == (prepaid.Totals{}) || h == a.told[h.Organisation] || lines == mostAccounts {
+		if h.Totals == (prepaid.Totals{}) || h == b.logged[h.Organisation] || lines == maxBalanceLines {
 			continue
 		}
 		lines++
-		a.told[h.Organisation] = h
+		b.logged[h.Organisation] = h
 		log.WithFields(log.Fields{
-			"incarnation": a.incarnation, "organisation": h.Organisation, "keeper": h.Keeper,
+			"incarnation": b.incarnation, "organisation": h.Organisation, "keeper": h.Keeper,
 			"free": h.Free, "reserved": h.Reserved, "granted": h.Granted, "limit": h.Limit, "offset": h.Offset,
 			"taken": h.Totals.Taken, "returned": h.Totals.Returned, "borrowed": h.Totals.Borrowed, "lent": h.Totals.Lent,
 			"recalled": h.Totals.Recalled, "given": h.Totals.Given, "received": h.Totals.Received, "used": h.Totals.Used,
--- a/router/node/config.go
+++ b/router/node/config.go
@@ -19,33 +19,33 @@
 // configChange is a configuration that was read and is not in force yet.
 type configChange struct {
 	value []byte
-	gap   bool // versions before it may have been missed
+	gap   bool // earlier versions may have been missed
 }
 
-// configQueue holds the configurations that were read and are not in force yet, oldest first.
-// Only the newest of them is put in force, but budgets see the limits of each: a limit that was
-// raised and set back between two versions let others take tokens.
+// configQueue holds the configurations that were read and are not in force yet, oldest first. Only
+// the newest is put in force, but budgets must see the limits of each: if a limit was raised and set
+// back between two versions, other hosts may have taken tokens under the raised limit.
 type configQueue struct {
 	mu      sync.Mutex
-	waiting []configChange
+	pending []configChange
 	bytes   int
 }
 
-// maxWaitingConfigBytes bounds the configurations that wait: what the log sends at once, and
-// what comes while that is decoded.
-const maxWaitingConfigBytes = 2 << 20
+// maxPendingConfigBytes bounds the queued configurations: as much as the log sends at once, and what
+// arrives while that is decoded.
+const maxPendingConfigBytes = 2 << 20
 
-// add takes a configuration in. The oldest ones are dropped where they are too many, and
-// what follows them counts as a gap.
+// add queues a configuration. If the queue is too large the oldest are dropped, and the next one is
+// marked as following a gap.
 func (q *configQueue) add(change configChange) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waiting = append(q.waiting, change)
+	q.pending = append(q.pending, change)
 	q.bytes += len(change.value)
-	for q.bytes > maxWaitingConfigBytes && len(q.waiting) > 1 {
-		q.bytes -= len(q.waiting[0].value)
-		q.waiting = q.waiting[1:]
-		q.waiting[0].gap = true
+	for q.bytes > maxPendingConfigBytes && len(q.pending) > 1 {
+		q.bytes -= len(q.pending[0].value)
+		q.pending = q.pending[1:]
+		q.pending[0].gap = true
 	}
 }
 
@@ -53,67 +53,67 @@
 func (q *configQueue) takeAll() []configChange {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	waiting := q.waiting
-	q.waiting, q.bytes = nil, 0
-	return waiting
+	pending := q.pending
+	q.pending, q.bytes = nil, 0
+	return pending
 }
 
-// configChanged notes new configurations; they are decoded elsewhere, so that the copy of the
-// log is not held up.
+// configChanged queues new configurations. They are decoded elsewhere so that the replica of the topic
+// is not held up.
 func (n *Node) configChanged(changes []replica.Change) {
 	added := false
 	for _, c := range changes {
 		if n.evacuationChanged(c) || n.rollouts.orderChanged(c) {
 			continue
 		}
-		if c.Record.Key != n.outside.ConfigKey || len(c.Record.Value) == 0 {
+		if c.Record.Key != n.env.ConfigKey || len(c.Record.Value) == 0 {
 			continue
 		}
-		n.pending.add(configChange{value: c.Record.Value, gap: c.Gap})
+		n.pendingConfigs.add(configChange{value: c.Record.Value, gap: c.Gap})
 		added = true
 	}
 	if !added {
 		return
 	}
 	select {
-	case n.changed <- struct{}{}:
+	case n.configQueued <- struct{}{}:
 	default:
 	}
 }
 
-// evacuationChanged puts an evacuation in force, or takes it back, if the record is one. It
-// is done before the configuration that came beside it is in force, so that a host is not
-// ready before it knows.
+// evacuationChanged starts or ends an evacuation if the record orders one. It runs before the
+// configuration that was read together with the record is applied, so that a host is not ready before
+// it knows of the evacuation.
 func (n *Node) evacuationChanged(c replica.Change) bool {
 	rec := c.Record
-	if n.outside.DecodeEvacuation == nil {
+	if n.env.DecodeEvacuation == nil {
 		return false
 	}
-	e, ok, err := n.outside.DecodeEvacuation(rec)
+	e, ok, err := n.env.DecodeEvacuation(rec)
 	switch {
 	case !ok:
 		return false
 	case err != nil:
-		log.WithFields(log.Fields{"key": rec.Key, "offset": rec.Offset}).WithError(err).Error("evacuation can't be read and is ignored")
+		log.WithFields(log.Fields{"key": rec.Key, "offset": rec.Offset}).WithError(err).Error("ignoring an invalid evacuation record")
 	case e.InForce:
-		n.targets.Evacuate(e.Domain, n.evacuateOver(c.Gap))
+		n.targets.Evacuate(e.Domain, n.evacuationTime(c.Gap))
 	default:
 		n.targets.EndEvacuation(e.Domain)
 	}
 	return true
 }
 
-// evacuatePart is the part of the time allowed over which the targets of an evacuated domain
-// leave. The rest is for the order's way to this host and for requests that are being sent.
-const evacuatePart = 0.5
+// evacuationFraction is the fraction of the time allowed over which the targets of an evacuated domain
+// are withdrawn. The rest covers the order's way to this host and requests that are being sent.
+const evacuationFraction = 0.5
 
-// evacuateOver is the time over which targets leave: none where the order may be older than
-// this host knows.
-func (n *Node) evacuateOver(gap bool) time.Duration {
+// evacuationTime is the time over which targets are withdrawn: none if the order may be older than
+// this host can tell.
+func (n *Node) evacuationTime(gap bool) time.Duration {
 	if gap {
 		return 0
 	}
-	return time.Duration(evacuatePart * float64(settings.Milliseconds(n.newestSettings().Bounds.EvacuateMs)))
+	return time.Duration(evacuationFraction * float64(settings.Milliseconds(n.newestSettings().Bounds.EvacuateMs)))
 }
 
 func (n *Node) applyConfigs(ctx context.Context) {
@@ -121,37 +121,37 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.changed:
+		case <-n.configQueued:
 		}
-		n.applyPending(n.pending.takeAll())
+		n.applyPending(n.pendingConfigs.takeAll())
 	}
 }
 
-// readConfig is a configuration that was decoded.
-type readConfig struct {
+// decodedConfig is a configuration that was decoded.
+type decodedConfig struct {
 	config  *routing.Config
 	bytes   int
-	skipped int  // configurations that came right before it and were never in force
+	skipped int  // configurations right before it that were never in force
 	gap     bool // others before it may have been missed
 }
 
-// applyPending shows the budgets each configuration, in order, and puts the newest in force. One
-// that can't be read is a gap before the next: others may have read it.
+// applyPending passes each configuration to the budgets, in order, and puts the newest in force. An
+// invalid one counts as a gap before the next: other hosts may have read it.
 func (n *Node) applyPending(changes []configChange) {
-	var newest readConfig
-	unread := false
+	var newest decodedConfig
+	invalid := false
 	for i, change := range changes {
-		config, err := n.outside.DecodeConfig(change.value)
+		config, err := n.env.DecodeConfig(change.value)
 		if err != nil {
-			log.WithError(err).Error("configuration can't be read; the present one stays in force")
-			unread = true
+			log.WithError(err).Error("invalid configuration ignored; the present one stays in force")
+			invalid = true
 			continue
 		}
-		gap := change.gap || unread
-		unread = false
+		gap := change.gap || invalid
+		invalid = false
 		n.treasury.Configure(config.Version, budgets(config), gap)
 		if newest.config == nil || config.Version > newest.config.Version {
-			newest = readConfig{config: config, bytes: len(change.value), skipped: i, gap: gap}
+			newest = decodedConfig{config: config, bytes: len(change.value), skipped: i, gap: gap}
 		}
 	}
 	if newest.config != nil {
@@ -160,21 +160,21 @@
 }
 
 // applyConfig puts a configuration in force unless it is older than the present one.
-func (n *Node) applyConfig(read readConfig) {
-	config, old := read.config, n.handler.Config()
-	if old != nil && config.Version <= old.Version {
+func (n *Node) applyConfig(decoded decodedConfig) {
+	config, previous := decoded.config, n.handler.Config()
+	if previous != nil && config.Version <= previous.Version {
 		return
 	}
-	n.fleet.SetBudgetShares(parts(budgets(config)))
-	n.setCold(config, n.newestSettings().Bounds)
+	n.fleet.SetBudgetShares(budgetShares(budgets(config)))
+	n.setColdLimits(config, n.newestSettings().Bounds)
 	n.handler.SetConfig(config)
 	n.shareConnections()
 	fields := log.Fields{
 		"version": config.Version, "routes": len(config.Routes), "organisations": len(config.Organisations),
-		"bytes": read.bytes, "skipped": read.skipped, "gap": read.gap,
+		"bytes": decoded.bytes, "skipped": decoded.skipped, "gap": decoded.gap,
 	}
-	if old != nil {
-		fields["before"] = old.Version
+	if previous != nil {
+		fields["before"] = previous.Version
 	}
 	log.WithFields(fields).Info("configuration in force")
 }
@@ -189,26 +189,25 @@
 	return list
 }
 
-// parts is which part of all prepaid tokens each organisation has.
-func parts(list []prepaid.Budget) map[string]float64 {
+// budgetShares is each organisation's share of all prepaid tokens.
+func budgetShares(list []prepaid.Budget) map[string]float64 {
 	total := 0.0
 	for _, b := range list {
 		total += float64(b.Limit)
 	}
-	parts := make(map[string]float64, len(list))
+	shares := make(map[string]float64, len(list))
 	for _, b := range list {
 		if total > 0 {
-			parts[b.Organisation] = float64(b.Limit) / total
+			shares[b.Organisation] = float64(b.Limit) / total
 		}
 	}
-	return parts
+	return shares
 }
 
-// connectionPart is the part of a target's connections that hosts use together.
-const connectionPart = 0.9
+// connectionFraction is the fraction of a target's connections that all hosts use together.
+const connectionFraction = 0.9
 
-// shareConnections gives this host its even part of the connections that each
-// target takes.
+// shareConnections gives this host an even share of the connections that each target accepts.
 func (n *Node) shareConnections() {
 	config := n.handler.Config()
 	if config == nil {
@@ -217,27 +216,27 @@
 	hosts := float64(n.fleet.Size())
 	for _, s := range config.Services {
 		if s.MaxConns > 0 {
-			n.targets.SetMaxConns(s.Name, max(int(connectionPart*float64(s.MaxConns)/hosts), 1))
+			n.targets.SetMaxConns(s.Name, max(int(connectionFraction*float64(s.MaxConns)/hosts), 1))
 		}
 	}
 }
 
-// coldPart is the part of what cold targets may get that hosts aim at: one host in ten may
-// be counted by some and not by others.
-const coldPart = 0.9
+// coldFraction is the fraction of the limit of cold targets that hosts aim at: one host in ten may be
+// counted by some hosts and not by others.
+const coldFraction = 0.9
 
-// setCold tells what cold targets bear.
-func (n *Node) setCold(config *routing.Config, b settings.Bounds) {
+// setColdLimits sets the load that cold targets may get.
+func (n *Node) setColdLimits(config *routing.Config, b settings.Bounds) {
 	for _, s := range config.Services {
 		limits := target.ColdLimits{Duration: settings.Seconds(s.ColdS)}
 		if s.ColdPerS > 0 {
-			limits.PerSecond = coldPart * (b.ColdOverrun*s.ColdPerS + b.ColdSlack)
+			limits.PerSecond = coldFraction * (b.ColdOverrun*s.ColdPerS + b.ColdSlack)
 		}
 		n.targets.SetColdLimits(s.Name, limits)
 	}
 }
 
-// targetsChanged takes over the list of targets.
+// targetsChanged applies changes of the list of targets.
 func (n *Node) targetsChanged(changes []replica.Change) {
 	for _, c := range changes {
 		id := c.Record.Key
@@ -245,23 +244,23 @@
 			n.targets.Remove(id)
 			continue
 		}
-		entry, err := n.outside.DecodeTarget(id, c.Record.Value)
+		entry, err := n.env.DecodeTarget(id, c.Record.Value)
 		if err != nil {
-			n.ignoreEntry(id, err)
+			n.rejectEntry(id, err)
 			continue
 		}
-		n.rollouts.saw(entry)
+		n.rollouts.noteVersion(entry)
 		n.targets.Put(entry)
 	}
 }
 
-// ignoredEntryLines bounds the lines a second about entries that name no target.
-const ignoredEntryLines = 2
+// invalidEntryLinesPerSecond bounds the log lines about entries that name no target.
+const invalidEntryLinesPerSecond = 2
 
-// ignoreEntry takes the target of an entry that names none to use out of the choice, if
-// there is one of this id, until a whole entry comes. The one before is not relied on: it may have
-// been overwritten together with the target's own word that it leaves.
-func (n *Node) ignoreEntry(id string, err error) {
+// rejectEntry makes the target of an invalid entry unavailable, if there is one of this id, until a
+// valid entry arrives. The previous entry is not relied on: the target may have announced that it is
+// leaving in an update that the invalid entry overwrote.
+func (n *Node) rejectEntry(id string, err error) {
 	n.targets.Remove(id)
 	fault := target.FaultUnreadable
 	var entry *target.EntryError
@@ -269,7 +268,7 @@
 		fault = entry.Fault
 	}
 	n.observer.Count(fmt.Sprintf("target_entries_ignored_total{fault=%q}", fault))
-	if ok, skipped := n.ignored.Allow(time.Now()); ok {
-		log.WithFields(log.Fields{"target": id, "fault": fault, "skipped": skipped}).WithError(err).Warn("entry of the list names no target")
+	if ok, skipped := n.invalidEntries.Allow(time.Now()); ok {
+		log.WithFields(log.Fields{"target": id, "fault": fault, "skipped": skipped}).WithError(err).Warn("ignoring an invalid entry of the list of targets")
 	}
 }
--- a/router/node/config_test.go
+++ b/router/node/config_test.go
@@ -12,7 +12,7 @@
 	"maststage.dev/standin/memlog"
 )
 
-func TestServesAndFollowsTheConfiguration(t *testing.T) {
+func TestServesByTheNewestConfiguration(t *testing.T) {
 	f := newFleet(t)
 	h := f.start(f.settings("h1"))
 	f.is.Equal(f.waitStatus(h, "/r/x", 503), 503) // no configuration yet: not run
@@ -26,7 +26,7 @@
 	f.eventually("the new route", func() bool { return f.call(h, "/new/x", "").status == 200 })
 	f.is.Equal(f.call(h, "/r/x", "").status, 404)
 
-	// An older version and one that can't be read change nothing.
+	// An older version and an invalid one change nothing.
 	f.publish(config(4, plainRoute, ""))
 	f.publish("{")
 	time.Sleep(100 * time.Millisecond)
@@ -46,8 +46,8 @@
 	f.is.Equal(f.call(h, "/r/x", "k2").status, 200)
 }
 
-// A host that the log turns away takes configuration and list from others.
-func TestOthersPassTheLogOn(t *testing.T) {
+// A host that can't reach the log gets configuration and targets from other hosts.
+func TestHostWithoutLogCatchesUpFromOthers(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{"refused": {Refuse: true}, "silent": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
@@ -57,7 +57,7 @@
 			f.publish(config(1, plainRoute, ""))
 			f.backend("t1", backend.Behaviour{Body: "one"})
 			f.ready(a)
-			f.ready(b) // though it never reached the log
+			f.ready(b) // although it never reached the log
 			f.eventually("b serves", func() bool { return f.call(b, "/r/x", "").body == "one" })
 			f.publish(config(2, strings.Replace(plainRoute, "/r/", "/new/", 1), ""))
 			f.backend("t2", backend.Behaviour{Body: "two"})
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestGoesOnWithoutTheLog(t *testing.T) {
+func TestServesDuringALogOutage(t *testing.T) {
 	f := newFleet(t)
 	h := f.start(f.settings("h1"))
 	f.publish(config(1, plainRoute, ""))
@@ -82,9 +82,9 @@
 	f.is.True(h.Ready())
 }
 
-// The log hands out three versions at once, as after an outage: the second doubles a budget and
-// the third sets it back. Only the third comes into force, but the budget must know of both, or
-// this host and all others that read the same would have to ask or to wait for the account.
+// The log returns three versions at once, as after an outage: the second doubles a budget and the third
+// sets it back. Only the third is put in force, but the budget must know of both, or this host and all
+// others that read the same would have to query the account or wait for it.
 func TestLimitsOfSkippedVersionsAreSeen(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -94,7 +94,7 @@
 	f.ready(a)
 
 	f.log.SetFault("a", memlog.Fault{Refuse: true})
-	f.eventually("the log is away", func() bool { up, _ := a.configCopy.Up(); return !up })
+	f.eventually("the log is unavailable", func() bool { up, _ := a.configReplica.Up(); return !up })
 	f.publish(limitConfig(2, 2000))
 	f.publish(limitConfig(3, 1000))
 	f.log.SetFault("a", memlog.Fault{})
@@ -109,12 +109,12 @@
 	return config(version, plainRoute, fmt.Sprintf(`,"organisations":[{"name":"o","keys":["k"],"prepaid":%d}]`, limit))
 }
 
-// Configurations that come faster than they are decoded are dropped from the oldest on, and the
-// budgets are told of the gap.
-func TestConfigurationsThatWaitAreBounded(t *testing.T) {
+// Configurations that arrive faster than they are decoded are dropped from the oldest on, and the budgets
+// are notified of the gap.
+func TestPendingConfigurationsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var q configQueue
-	large := make([]byte, maxWaitingConfigBytes/2)
+	large := make([]byte, maxPendingConfigBytes/2)
 	q.add(configChange{value: large})
 	q.add(configChange{value: large})
 	is.Equal(len(q.takeAll()), 2)
@@ -126,6 +126,6 @@
 	is.True(waiting[0].gap)
 	is.True(!waiting[1].gap)
 	is.Equal(len(q.takeAll()), 0)
-	q.add(configChange{value: make([]byte, 2*maxWaitingConfigBytes)})
+	q.add(configChange{value: make([]byte, 2*maxPendingConfigBytes)})
 	is.Equal(len(q.takeAll()), 1) // the newest is always kept
 }
--- a/router/node/crash_test.go
+++ b/router/node/crash_test.go
@@ -17,33 +17,33 @@
 	"maststage.dev/standin/memlog"
 )
 
-// What was seen: one request, under a new id each time and at any host, ended each target
-// that began to run it. It was sent to 12 and more targets after three had ended, and what
-// they had under way broke with them. Each host forgot the request with its answer and knew
-// nothing of the others' tries, so nobody ever had more than one or two ends in hand. That
-// it was one request, and not load, a caller's stop or a fault of our connections, the lines
-// with its digest proved: they name the same one at each end, and no other one twice in a row.
+// The incident behind these tests: one request, under a new id each time and at any host, crashed each
+// target that began to run it. It was sent to 12 and more targets after three had crashed, which
+// interrupted the requests in flight there. Each host forgot the request after its response and knew
+// nothing of the attempts of others, so none ever saw more than one or two crashes. Log lines with the
+// digest showed that it was this request, and not load, a caller's abort or a fault of our connections:
+// each crash had the same digest, and no other digest came twice in a row.
 
-// Figures of the pools of targets that crash.
+// Parameters of the pools of crashing targets.
 const (
 	crashPath    = "/e/crash"
 	hotPath      = "/e/hot"
-	crashDelay   = 20 * time.Millisecond // from the begin of a run to the crash
-	entryLapses  = 150 * time.Millisecond
-	targetIsBack = 250 * time.Millisecond
-	// contactTime is how long after the third end hosts may go on sending.
-	contactTime = time.Second
-	mostRetries = 3 // that are sent later, by all hosts together
+	crashDelay   = 20 * time.Millisecond // from the start of a run to the crash
+	unlistDelay  = 150 * time.Millisecond
+	restartDelay = 250 * time.Millisecond
+	// gracePeriod is how long after the third exit hosts may still send the request.
+	gracePeriod  = time.Second
+	maxLateSends = 3 // sent later than that, by all hosts together
 )
 
-// crashPool is a set of targets of the service e that crash on a request and come back.
+// crashPool is a set of targets of the service e that crash on a request and restart.
 type crashPool struct {
 	f *testFleet
 
 	mu       sync.Mutex
 	closed   bool
-	arrivals []time.Time // of the request that crashes
-	ends     []time.Time
+	arrivals []time.Time // of the crashing request
+	exits    []time.Time
 	backends []*backend.Backend
 }
 
@@ -63,14 +63,14 @@
 	return p
 }
 
-// start starts an incarnation and lists it.
-func (p *crashPool) start(place, life int) {
+// start starts and lists an incarnation.
+func (p *crashPool) start(slot, incarnation int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
-	id := fmt.Sprintf("c%d-%d", place, life)
+	id := fmt.Sprintf("c%d-%d", slot, incarnation)
 	b, err := backend.Start(id, names, p.behave)
 	if err != nil {
 		p.f.t.Error(err)
@@ -81,12 +81,12 @@
 	go func() {
 		<-b.Done()
 		p.mu.Lock()
-		p.ends = append(p.ends, time.Now())
+		p.exits = append(p.exits, time.Now())
 		p.mu.Unlock()
-		time.Sleep(entryLapses)
+		time.Sleep(unlistDelay)
 		p.f.unlist(id)
-		time.Sleep(targetIsBack - entryLapses)
-		p.start(place, life+1)
+		time.Sleep(restartDelay - unlistDelay)
+		p.start(slot, incarnation+1)
 	}()
 }
 
@@ -100,40 +100,39 @@
 	return backend.Behaviour{Crash: true, Delay: crashDelay}
 }
 
-// third is when the third target ended; ok is false before.
-func (p *crashPool) third() (at time.Time, ok bool) {
+// thirdExit is when the third target exited; ok is false before.
+func (p *crashPool) thirdExit() (at time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.ends) < 3 {
+	if len(p.exits) < 3 {
 		return at, false
 	}
-	return p.ends[2], true
+	return p.exits[2], true
 }
 
-// late counts the arrivals of the crashing request at targets later than allowed, and
-// the ends.
-func (p *crashPool) late() (late, ends int) {
-	third, ok := p.third()
+// sentLate counts the arrivals of the crashing request that came later than allowed, and the exits.
+func (p *crashPool) sentLate() (late, exits int) {
+	third, ok := p.thirdExit()
 	if !ok {
 		return 0, 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, at := range p.arrivals {
-		if at.Sub(third) > contactTime {
+		if at.Sub(third) > gracePeriod {
 			late++
 		}
 	}
-	return late, len(p.ends)
+	return late, len(p.exits)
 }
 
-// crashTraffic is callers beside each other at random hosts.
+// crashTraffic is concurrent callers at random hosts.
 type crashTraffic struct {
 	f     *testFleet
 	hosts []*host
 
 	mu      sync.Mutex
-	replies map[string][]timedReply // by path of its kind
+	replies map[string][]timedReply // by kind
 }
 
 type timedReply struct {
@@ -141,8 +140,8 @@
 	began time.Time
 }
 
-// run sends the crashing request every so often, a hot one and ones of their own beside it,
-// until ctx ends.
+// run sends the crashing request at intervals, together with one often repeated request and many
+// distinct ones, until ctx ends.
 func (c *crashTraffic) run(ctx context.Context, every time.Duration) {
 	var all sync.WaitGroup
 	loop := func(kind string, path func() string, pause time.Duration) {
@@ -165,8 +164,8 @@
 	all.Wait()
 }
 
-// whole counts the replies of a kind that began after a moment, and those that came whole.
-func (c *crashTraffic) whole(kind string, after time.Time) (all, whole int) {
+// completed counts the replies of a kind that began after the given time, and the complete ones.
+func (c *crashTraffic) completed(kind string, after time.Time) (all, complete int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.replies[kind] {
@@ -175,10 +174,10 @@
 		}
 		all++
 		if r.err == nil && r.status == http.StatusOK && strings.Count(r.body, "data:") == 20 {
-			whole++
+			complete++
 		}
 	}
-	return all, whole
+	return all, complete
 }
 
 // refusals counts the replies of a kind that said that nothing ran.
@@ -193,7 +192,7 @@
 	return n
 }
 
-// crashFleet starts hosts that know each other and a pool.
+// crashFleet starts hosts that know each other, and a pool.
 func crashFleet(t *testing.T, hosts, targets int) (*testFleet, []*host, *crashPool) {
 	f := newFleet(t)
 	f.publish(config(1, engineRoute, ""))
@@ -217,7 +216,7 @@
 	return f, all, pool
 }
 
-// play lets traffic run until some time after the third end.
+// playCrashes runs traffic until some time after the third exit.
 func playCrashes(f *testFleet, hosts []*host, pool *crashPool, rest time.Duration) *crashTraffic {
 	f.t.Helper()
 	traffic := &crashTraffic{f: f, hosts: hosts, replies: map[string][]timedReply{}}
@@ -227,31 +226,31 @@
 		defer close(done)
 		traffic.run(ctx, 100*time.Millisecond)
 	}()
-	f.eventually("three targets have ended", func() bool { _, ok := pool.third(); return ok })
-	time.Sleep(contactTime + rest)
+	f.eventually("three targets have exited", func() bool { _, ok := pool.thirdExit(); return ok })
+	time.Sleep(gracePeriod + rest)
 	stop()
 	<-done
 	return traffic
 }
 
-// A request that crashes each target that runs it is soon sent to none, by no host, and the
-// requests beside it, the often repeated one too, come back whole.
+// No host sends a request that crashes each target to any target for long, and other requests, the often
+// repeated one included, complete.
 func TestRequestThatCrashesTargetsIsStopped(t *testing.T) {
 	f, hosts, pool := crashFleet(t, 6, 9)
 	traffic := playCrashes(f, hosts, pool, 2*time.Second)
-	late, ends := pool.late()
-	third, _ := pool.third()
-	own, ownWhole := traffic.whole("own", third.Add(contactTime))
-	hot, hotWhole := traffic.whole(hotPath, third.Add(contactTime))
-	t.Logf("%d targets ended, %d sends too late; %d of %d and %d of %d requests beside it whole", ends, late, ownWhole, own, hotWhole, hot)
-	f.is.True(late <= mostRetries)
+	late, exits := pool.sentLate()
+	third, _ := pool.thirdExit()
+	own, ownComplete := traffic.completed("own", third.Add(gracePeriod))
+	hot, hotComplete := traffic.completed(hotPath, third.Add(gracePeriod))
+	t.Logf("%d targets exited, %d sends too late; %d of %d and %d of %d other requests complete", exits, late, ownComplete, own, hotComplete, hot)
+	f.is.True(late <= maxLateSends)
 	f.is.True(own > 50 && hot > 50)
-	f.is.Equal(ownWhole, own)
-	f.is.Equal(hotWhole, hot)
+	f.is.Equal(ownComplete, own)
+	f.is.Equal(hotComplete, hot)
 	f.is.Equal(traffic.refusals(hotPath), 0)
 }
 
-// stopped sends the request at each host: none reaches a target, and all are told that it
+// stopped sends the request through each host: it must reach no target, and the replies must say that it
 // has not run.
 func (p *crashPool) stopped(hosts ...*host) {
 	p.f.t.Helper()
@@ -267,45 +266,45 @@
 	p.f.is.Equal(len(p.arrivals), before)
 }
 
-// The log is away as it begins: hosts tell each other. A host that starts then, and has
-// nothing but another host, knows it before it is ready.
-func TestCrashesWhileTheLogIsAway(t *testing.T) {
+// The log is unavailable from the start: hosts notify each other. A host that starts meanwhile, with only
+// another host to ask, knows the request before it is ready.
+func TestCrashingRequestIsStoppedDuringALogOutage(t *testing.T) {
 	f, hosts, pool := crashFleet(t, 4, 8)
 	f.log.SetFault("", memlog.Fault{Refuse: true})
 	playCrashes(f, hosts, pool, 200*time.Millisecond)
-	late, ends := pool.late()
-	t.Logf("%d targets ended, %d sends too late", ends, late)
-	f.is.True(late <= mostRetries)
+	late, exits := pool.sentLate()
+	t.Logf("%d targets exited, %d sends too late", exits, late)
+	f.is.True(late <= maxLateSends)
 	pool.stopped(hosts...)
-	young := f.start(f.settings("young", hosts[0].cfg.Host.PeerListen))
-	f.ready(young)
-	pool.stopped(young)
+	starting := f.start(f.settings("young", hosts[0].cfg.Host.PeerListen))
+	f.ready(starting)
+	pool.stopped(starting)
 	f.log.SetFault("", memlog.Fault{})
-	f.eventually("the log has it", func() bool { return len(hosts[0].guard.Unpersisted()) == 0 })
+	f.eventually("the log has the entry", func() bool { return len(hosts[0].guard.Unpersisted()) == 0 })
 }
 
-// Hosts that the log turns away, or that nobody reaches for a while, learn it when they can.
-func TestCrashesBesideHostsThatAreCutOff(t *testing.T) {
+// Hosts that can't reach the log, or that can't be reached for a while, learn of the request when they can.
+func TestUnreachableHostsLearnOfCrashingRequests(t *testing.T) {
 	f, hosts, pool := crashFleet(t, 5, 8)
-	away := hosts[4]
-	f.log.SetFault(away.name, memlog.Fault{Silent: true})
-	deaf := hosts[3]
-	for _, s := range deaf.aux { // its answers to other hosts, too
+	offline := hosts[4]
+	f.log.SetFault(offline.name, memlog.Fault{Silent: true})
+	isolated := hosts[3]
+	for _, s := range isolated.auxServers { // its replies to other hosts are cut, too
 		_ = s.Close()
 	}
 	playCrashes(f, hosts[:3], pool, 200*time.Millisecond)
-	late, _ := pool.late()
-	f.is.True(late <= mostRetries)
-	pool.stopped(hosts[0], hosts[1], hosts[2], away)
-	f.eventually("the deaf host reads it from the log", func() bool { return deaf.guard.Len() > 0 })
-	pool.stopped(deaf)
+	late, _ := pool.sentLate()
+	f.is.True(late <= maxLateSends)
+	pool.stopped(hosts[0], hosts[1], hosts[2], offline)
+	f.eventually("the isolated host reads it from the log", func() bool { return isolated.guard.Len() > 0 })
+	pool.stopped(isolated)
 }
 
-// It lasts beyond all hosts, until an operator deletes its record.
+// The quarantine outlives all hosts, until an operator deletes its record.
 func TestQuarantineOutlivesAllHosts(t *testing.T) {
 	f, hosts, pool := crashFleet(t, 3, 8)
 	playCrashes(f, hosts, pool, 200*time.Millisecond)
-	f.eventually("the log has it", func() bool { return len(hosts[0].guard.Unpersisted()) == 0 })
+	f.eventually("the log has the entry", func() bool { return len(hosts[0].guard.Unpersisted()) == 0 })
 	for _, h := range hosts {
 		h.kill()
 		<-h.done
--- a/router/node/entries_test.go
+++ b/router/node/entries_test.go
@@ -18,9 +18,9 @@
 	f.log.Put(eventlog.Partition{Topic: topicTargets}, id, []byte(value))
 }
 
-// Entries that can't be read name no target; the others hold. One that takes the place of a
-// good entry takes its target out of the choice until a good one comes.
-func TestEntriesThatCantBeRead(t *testing.T) {
+// Invalid entries name no target and don't affect others. One that replaces a valid entry makes its target
+// unavailable until a valid one arrives.
+func TestInvalidEntriesAreIgnored(t *testing.T) {
 	f := newFleet(t)
 	h := f.start(f.settings("h1"))
 	f.publish(config(1, plainRoute, ""))
@@ -37,7 +37,7 @@
 	f.is.Equal(h.targets.TotalReady(), 2)
 
 	f.put("t1", "{")
-	f.eventually("the garbled one is out", func() bool { return h.targets.TotalReady() == 1 })
+	f.eventually("the target of the invalid entry is unavailable", func() bool { return h.targets.TotalReady() == 1 })
 	time.Sleep(20 * time.Millisecond)
 	before := one.Arrivals()
 	for range 20 {
@@ -45,25 +45,25 @@
 	}
 	f.is.Equal(one.Arrivals(), before)
 	f.list(target.Entry{ID: "t1", Service: "s", Address: one.Address(), Domain: "z1", Slots: 4})
-	f.eventually("it is back", func() bool { return h.targets.TotalReady() == 2 })
-	// Of two idle targets one that was slow once may never be chosen, so the other leaves.
+	f.eventually("it is available again", func() bool { return h.targets.TotalReady() == 2 })
+	// Of two idle targets, one that was slow once may never be chosen, so the other is removed.
 	f.unlist("t2")
 	f.eventually("only it is left", func() bool { return h.targets.TotalReady() == 1 })
 	f.eventually("it serves again", func() bool { return f.call(h, "/r/x", "").body == "one" })
 }
 
-// A target that leaves is not ready again for an entry that can't be read.
-func TestLeavingTargetWithAGarbledEntry(t *testing.T) {
+// A draining target must not become ready again by an invalid entry.
+func TestInvalidEntryKeepsTargetDraining(t *testing.T) {
 	f := newFleet(t)
 	h := f.start(f.settings("h1"))
 	f.publish(config(1, plainRoute, ""))
 	leaving := f.backend("t1", backend.Behaviour{Body: "one"})
 	f.backend("t2", backend.Behaviour{Body: "two"})
 	f.ready(h)
-	f.eventually("both are there", func() bool { return h.targets.TotalReady() == 2 })
+	f.eventually("both are listed", func() bool { return h.targets.TotalReady() == 2 })
 	entry := target.Entry{ID: "t1", Service: "s", Address: leaving.Address(), Domain: "z1", Slots: 4, State: target.Draining}
 	f.list(entry)
-	f.eventually("it leaves", func() bool { return h.targets.TotalReady() == 1 })
+	f.eventually("it drains", func() bool { return h.targets.TotalReady() == 1 })
 	value, err := json.Marshal(entry)
 	f.is.NoErr(err)
 	f.put("t1", strings.Replace(string(value), "4", `"four"`, 1))
--- a/router/node/evacuation_test.go
+++ b/router/node/evacuation_test.go
@@ -8,7 +8,7 @@
 	"maststage.dev/standin/memlog"
 )
 
-// only says whether the last calls of a host were all served by one target.
+// only reports whether ten calls through a host were all served by one target.
 func (f *testFleet) only(h *host, body string) bool {
 	for range 10 {
 		if f.call(h, "/r/x", "").body != body {
@@ -27,7 +27,7 @@
 	return f
 }
 
-func TestEvacuationIsFollowedAndTakenBack(t *testing.T) {
+func TestEvacuationIsFollowedAndWithdrawn(t *testing.T) {
 	f := evacuationFleet(t)
 	h := f.start(f.settings("h1"))
 	f.ready(h)
@@ -35,13 +35,13 @@
 	f.evacuate("z1", true)
 	f.eventually("the other domain serves", func() bool { return f.only(h, "two") })
 
-	// Of all domains nothing is left, and that is said at once.
+	// With all domains evacuated no target is left, and requests are refused at once.
 	f.evacuate("z2", true)
 	f.is.Equal(f.waitStatus(h, "/r/x", 503), 503)
 	f.evacuate("z1", false)
 	f.eventually("z1 serves again", func() bool { return f.only(h, "one") })
 
-	// What can't be read and what names no known domain changes nothing.
+	// Invalid records and records of unknown domains change nothing.
 	f.log.Put(eventlog.Partition{Topic: topicConfig}, evacuationPrefix+"z1", []byte("garbled"))
 	f.evacuate("elsewhere", true)
 	f.evacuate("z2", false)
@@ -49,8 +49,8 @@
 	f.is.True(f.only(h, "one"))
 }
 
-// A host that the log turns away learns of evacuations and of their ends from others.
-func TestOthersTellOfEvacuations(t *testing.T) {
+// A host that can't reach the log learns of evacuations and of their ends from other hosts.
+func TestHostWithoutLogLearnsOfEvacuations(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{"refused": {Refuse: true}, "silent": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			f := evacuationFleet(t)
@@ -62,26 +62,26 @@
 			f.evacuate("z1", true)
 			f.eventually("b leaves the domain", func() bool { return f.only(b, "two") })
 			f.evacuate("z1", false)
-			f.eventually("b is back", func() bool { return f.only(b, "one") })
+			f.eventually("b uses the domain again", func() bool { return f.only(b, "one") })
 		})
 	}
 }
 
-// A host that starts knows of evacuations before it is ready, also where the log's history
-// is gone or only a copy of the topic can be read.
+// A starting host knows of evacuations before it is ready, even if the log's history is trimmed or only a
+// snapshot of the topic can be read.
 func TestStartingHostKnowsOfEvacuations(t *testing.T) {
 	config := eventlog.Partition{Topic: topicConfig}
 	for name, fault := range map[string]func(f *testFleet){
-		"log":             func(*testFleet) {},
-		"history gone":    func(f *testFleet) { f.log.Trim(config) },
-		"copy of a topic": func(f *testFleet) { f.log.SetPartitionFault(config, memlog.Fault{Refuse: true}) },
+		"log":                 func(*testFleet) {},
+		"history trimmed":     func(f *testFleet) { f.log.Trim(config) },
+		"snapshot of a topic": func(f *testFleet) { f.log.SetPartitionFault(config, memlog.Fault{Refuse: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := evacuationFleet(t)
 			f.evacuate("z1", true)
 			a := f.start(f.settings("a"))
 			f.ready(a)
-			f.eventually("copies are written", func() bool {
+			f.eventually("snapshots are written", func() bool {
 				_, ok := f.log.Get(eventlog.Partition{Topic: topicArchive}, topicConfig)
 				return ok
 			})
@@ -93,7 +93,7 @@
 	}
 }
 
-// An evacuation that ended while the log had forgotten its history ends here too.
+// An evacuation that ended in a trimmed part of the log's history ends at this host, too.
 func TestEndOfAnEvacuationIsSeenInAGap(t *testing.T) {
 	f := evacuationFleet(t)
 	h := f.start(f.settings("h1"))
--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -8,8 +8,8 @@
 	"maststage.dev/router/replica"
 )
 
-// gauges tells what the node's duties hold, read when the metrics are.
-func (n *Node) gauges() {
+// registerGauges registers the gauges of the node's components, which are read on each scrape.
+func (n *Node) registerGauges() {
 	n.observer.Holdings(n.treasury.Holdings)
 	n.observer.Limits(n.targets.Limits)
 	n.observer.Gauge("open_requests", func() float64 { return float64(n.handler.InFlight()) })
@@ -17,10 +17,10 @@
 	n.observer.Gauge("hosts", func() float64 { return float64(n.fleet.Size()) })
 	n.observer.Gauge("targets_ready", func() float64 { return float64(n.targets.TotalReady()) })
 	for topic, c := range map[string]*replica.Replica{
-		n.outside.ConfigTopic: n.configCopy, n.outside.TargetsTopic: n.targetsCopy, n.outside.HostsTopic: n.hostsCopy,
+		n.env.ConfigTopic: n.configReplica, n.env.TargetsTopic: n.targetsReplica, n.env.HostsTopic: n.hostsReplica,
 	} {
 		n.observer.Gauge(fmt.Sprintf("copy_end{topic=%q}", topic), func() float64 { return float64(c.End()) })
-		n.observer.Gauge(fmt.Sprintf("copy_age_seconds{topic=%q}", topic), func() float64 { return copyAge(c) })
+		n.observer.Gauge(fmt.Sprintf("copy_age_seconds{topic=%q}", topic), func() float64 { return replicaAge(c) })
 	}
 	n.observer.Gauge("quarantine_entries", func() float64 { return float64(n.guard.Len()) })
 	n.observer.Gauge("domains_evacuated", func() float64 { return float64(n.targets.CountEvacuatedDomains()) })
@@ -40,11 +40,11 @@
 	}
 }
 
-// copyAge is the time in seconds since the log last told of a topic, -1 if it never did.
-func copyAge(c *replica.Replica) float64 {
-	_, contact := c.Up()
-	if contact.IsZero() {
+// replicaAge is the time in seconds since the log last confirmed a topic, -1 if it never did.
+func replicaAge(c *replica.Replica) float64 {
+	_, lastContact := c.Up()
+	if lastContact.IsZero() {
 		return -1
 	}
-	return time.Since(contact).Seconds()
+	return time.Since(lastContact).Seconds()
 }
--- a/router/node/harness_test.go
+++ b/router/node/harness_test.go
@@ -57,7 +57,7 @@
 	RequestID: "X-Id", ExpectTarget: "X-Expect", LastEventID: "Last-Event-Id", Stamp: "X-Stamp", NotRun: "X-Not-Run", Limit: "X-Limit",
 }
 
-// testFleet is some nodes on one log, with back ends.
+// testFleet is a number of nodes on one log, with back ends.
 type testFleet struct {
 	t      *testing.T
 	is     *is.I
@@ -73,13 +73,12 @@
 type host struct {
 	*Node
 	name string
-	done chan struct{} // closed when the node has ended
+	done chan struct{} // closed when the node has stopped
 	kill context.CancelFunc
 }
 
-// freeAddress gives an address that nobody uses. Its IP is drawn anew: a port of
-// 127.0.0.1 may become that of another program's outgoing connection before the host
-// listens there.
+// freeAddress returns an unused address. Its IP is random: a port of 127.0.0.1 may become that of another
+// program's outgoing connection before the host listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ip := net.IPv4(127, byte(1+rand.IntN(19)), byte(rand.IntN(256)), byte(1+rand.IntN(254)))
@@ -130,7 +129,7 @@
 
 func (f *testFleet) startWith(cfg *settings.Settings, clocks suspend.Clocks) *host {
 	f.t.Helper()
-	outside := Environment{
+	env := Environment{
 		Log: f.log.Host(cfg.Host.Name), Headers: headers,
 		ConfigTopic: topicConfig, TargetsTopic: topicTargets, HostsTopic: topicHosts, BudgetsTopic: topicBudgets,
 		ArchiveTopic: topicArchive, MaxRecordBytes: 1 << 18,
@@ -150,13 +149,13 @@
 			return routing.Evacuation{Domain: domain, InForce: len(rec.Value) > 0}, ok, err
 		},
 	}
-	n := newWith(cfg, outside, fmt.Sprint(incarnations.Add(1)), clocks)
+	n := newWithClocks(cfg, env, fmt.Sprint(incarnations.Add(1)), clocks)
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &host{Node: n, name: cfg.Host.Name, done: make(chan struct{}), kill: cancel}
 	go func() {
 		defer close(h.done)
 		if err := n.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
-			f.t.Errorf("%s ended: %v", cfg.Host.Name, err)
+			f.t.Errorf("%s stopped: %v", cfg.Host.Name, err)
 		}
 	}()
 	f.t.Cleanup(func() {
@@ -165,7 +164,7 @@
 		if n.server != nil {
 			_ = n.server.Close()
 		}
-		for _, s := range n.aux {
+		for _, s := range n.auxServers {
 			_ = s.Close()
 		}
 	})
@@ -182,7 +181,7 @@
 	f.log.Put(eventlog.Partition{Topic: topicTargets}, e.ID, value)
 }
 
-// evacuate orders or takes back the evacuation of a failure domain.
+// evacuate orders or withdraws the evacuation of a failure domain.
 func (f *testFleet) evacuate(domain string, inForce bool) {
 	var value []byte
 	if inForce {
--- a/router/node/limits.go
+++ b/router/node/limits.go
@@ -13,27 +13,27 @@
 	"maststage.dev/router/target"
 )
 
-// limitLook is the time between two looks at what this host is to write about limits of targets.
-const limitLook = 250 * time.Millisecond
+// limitCheckInterval is the time between two checks of the target limits that this host is to publish.
+const limitCheckInterval = 250 * time.Millisecond
 
-// limitNotices keeps what the hosts' topic told of limits of targets until it is taken over: that
-// can't be done while the topic's copy is locked, since the choice of a target looks into it.
+// limitNotices queues the notices of target limits from the hosts' topic. They can't be applied while
+// the topic's replica is locked, as the choice of a target reads that replica.
 type limitNotices struct {
 	mu      sync.Mutex
-	waiting []limit.Notice
-	arrived chan struct{} // full: some are waiting
+	pending []limit.Notice
+	arrived chan struct{} // full: some are pending
 }
 
 func newLimitNotices() *limitNotices { return &limitNotices{arrived: make(chan struct{}, 1)} }
 
-// changed notes the notices among what the hosts' topic tells.
+// changed queues the notices among changes of the hosts' topic.
 func (l *limitNotices) changed(changes []replica.Change) {
 	for _, c := range changes {
 		notice, ok, err := limit.ParseNotice(c.Record)
 		switch {
 		case !ok:
 		case err != nil:
-			log.WithField("key", c.Record.Key).WithError(err).Warn("notice of a limit can't be read")
+			log.WithField("key", c.Record.Key).WithError(err).Warn("ignoring an invalid notice of a target limit")
 		default:
 			l.add(notice)
 		}
@@ -43,7 +43,7 @@
 func (l *limitNotices) add(n limit.Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = append(l.waiting, n)
+	l.pending = append(l.pending, n)
 	select {
 	case l.arrived <- struct{}{}:
 	default:
@@ -53,27 +53,27 @@
 func (l *limitNotices) takeAll() []limit.Notice {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	waiting := l.waiting
-	l.waiting = nil
-	return waiting
+	pending := l.pending
+	l.pending = nil
+	return pending
 }
 
-// followLimits takes over what other hosts tell of limits of targets, and tells them, until ctx ends.
-func (n *Node) followLimits(ctx context.Context) {
+// exchangeLimits applies notices of target limits from other hosts, and publishes this host's, until ctx ends.
+func (n *Node) exchangeLimits(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, notice := range n.limitNotices.takeAll() {
 			n.targets.ApplyLimitNotice(notice)
 		}
 		for _, notice := range n.targets.DueLimitNotices(time.Now()) {
-			n.writeLimit(ctx, notice)
+			n.publishLimit(ctx, notice)
 		}
-		n.untilLimits(ctx)
+		n.waitForLimits(ctx)
 	}
 }
 
-// untilLimits waits for notices, or for the next look.
-func (n *Node) untilLimits(ctx context.Context) {
-	timer := time.NewTimer(limitLook)
+// waitForLimits waits for notices, or for the next check.
+func (n *Node) waitForLimits(ctx context.Context) {
+	timer := time.NewTimer(limitCheckInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -82,8 +82,8 @@
 	}
 }
 
-// writeLimit writes a notice. One that fails is due again later.
-func (n *Node) writeLimit(ctx context.Context, notice limit.Notice) {
+// publishLimit writes a notice to the hosts' topic. One that fails is due again later.
+func (n *Node) publishLimit(ctx context.Context, notice limit.Notice) {
 	notice.Host = n.cfg.Host.Name
 	rec, err := notice.Record()
 	if err == nil {
@@ -91,13 +91,13 @@
 	}
 	entry := log.WithFields(log.Fields{"target": notice.Target, "in_force": notice.InForce, "per_second": notice.PerSecond})
 	if err != nil {
-		entry.WithError(err).Warn("hosts not told of a target's limit")
+		entry.WithError(err).Warn("notice of a target limit not written, retrying later")
 		return
 	}
-	entry.Info("hosts told of a target's limit")
+	entry.Info("notice of a target limit written")
 }
 
-// limitBounds is what the operator allows targets that name limits to get.
+// limitBounds is the operator's bounds for targets that advertise rate limits.
 func limitBounds(b settings.Bounds) target.LimitBounds {
 	return target.LimitBounds{Overrun: b.LimitOverrun, Slack: b.LimitSlack, Window: settings.Seconds(b.LimitWindowS)}
 }
--- a/router/node/limits_test.go
+++ b/router/node/limits_test.go
@@ -7,7 +7,7 @@
 	"maststage.dev/standin/backend"
 )
 
-// limitedFleet is three hosts that know each other, with two targets of which one names a limit.
+// limitedFleet is three hosts that know each other, with two targets of which one advertises a rate limit.
 type limitedFleet struct {
 	*testFleet
 	hosts   []*host
@@ -30,13 +30,13 @@
 	return f
 }
 
-// name lets the target name a limit from now on; none: no limit.
-func (f *limitedFleet) name(values ...string) {
+// advertise sets the rate limit that the target advertises; no values: no limit.
+func (f *limitedFleet) advertise(values ...string) {
 	f.limited.Behave(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok", Limit: values} })
 }
 
-// askFor sends requests through all hosts for a while, and counts those that the target got.
-func (f *limitedFleet) askFor(d time.Duration) int {
+// sendFor sends requests through all hosts for a while, and counts those that reached the target.
+func (f *limitedFleet) sendFor(d time.Duration) int {
 	f.t.Helper()
 	before := f.limited.Arrivals()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -47,23 +47,23 @@
 	return f.limited.Arrivals() - before
 }
 
-// Guards against hosts that send the whole limit each, that don't tell each other of it, and that send
+// Guards against hosts that each send the whole limit, that don't notify each other of it, and that send
 // a target nothing after its limit has ended.
 func TestHostsKeepToALimitTogether(t *testing.T) {
 	f := newLimitedFleet(t)
-	f.askFor(7 * time.Second) // until they share duties
-	f.name("2")
-	f.askFor(2 * time.Second)
-	got := f.askFor(4 * time.Second)
+	f.sendFor(7 * time.Second) // until they share duties
+	f.advertise("2")
+	f.sendFor(2 * time.Second)
+	got := f.sendFor(4 * time.Second)
 	t.Logf("%d requests in 4 s at a limit of 2 a second", got)
 	f.is.True(got <= 17)
 	f.is.True(got >= 4)
 	for _, h := range f.hosts {
 		f.is.Equal(len(h.targets.Limits()), 1)
 	}
-	f.name()
+	f.advertise()
 	f.eventually("all hosts know that the limit has ended", func() bool {
-		f.askFor(200 * time.Millisecond)
+		f.sendFor(200 * time.Millisecond)
 		for _, h := range f.hosts {
 			if len(h.targets.Limits()) > 0 {
 				return false
@@ -73,12 +73,12 @@
 	})
 }
 
-// Guards against a host that starts and sends a target its usual load before it has learned of a limit.
+// Guards against a starting host that sends a target its usual load before it has learned of a limit.
 func TestStartingHostKnowsOfLimits(t *testing.T) {
 	f := newLimitedFleet(t)
-	f.name("0.5")
-	f.eventually("the limit stands in the log", func() bool {
-		f.askFor(100 * time.Millisecond)
+	f.advertise("0.5")
+	f.eventually("the limit is in the log", func() bool {
+		f.sendFor(100 * time.Millisecond)
 		for _, h := range f.hosts {
 			if limits := h.targets.Limits(); len(limits) == 0 || !limits[0].Published {
 				return false
--- a/router/node/listen.go
+++ b/router/node/listen.go
@@ -12,12 +12,12 @@
 	"maststage.dev/lib/guard"
 )
 
-// listen opens all addresses.
+// listen opens all listeners.
 func (n *Node) listen() error {
 	h := n.cfg.Host
 	n.server = n.callerServer()
 	ready := http.NewServeMux()
-	ready.HandleFunc("GET "+n.outside.ReadyPath, n.serveReady)
+	ready.HandleFunc("GET "+n.env.ReadyPath, n.serveReady)
 	if err := n.serve(n.server, h.Listen, "callers"); err != nil {
 		return err
 	}
@@ -38,22 +38,22 @@
 
 func (n *Node) serveAux(address, what string, handler http.Handler) error {
 	s := &http.Server{Handler: handler, ReadTimeout: auxTimeout, IdleTimeout: auxTimeout}
-	n.aux = append(n.aux, s)
+	n.auxServers = append(n.auxServers, s)
 	return n.serve(s, address, what)
 }
 
-// server is what takes connections.
+// server accepts connections.
 type server interface{ Serve(l net.Listener) error }
 
 func (n *Node) serve(s server, address, what string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("listening for %s: %w", what, err)
+		return fmt.Errorf("listening for connections of %s: %w", what, err)
 	}
 	log.WithFields(log.Fields{"for": what, "address": address}).Info("listening")
 	guard.Go(what+" server", func() {
 		if err := s.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			log.WithField("for", what).WithError(err).Error("server ended")
+			log.WithField("for", what).WithError(err).Error("server stopped with an error")
 		}
 	})
 	return nil
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the duties of a router host together and runs them.
+// Package node assembles the components of a router host and runs them.
 package node
 
 import (
@@ -34,93 +34,92 @@
 	"maststage.dev/router/unread"
 )
 
-// Environment is how a router meets the systems around it: names and formats, no
-// decisions.
+// Environment is a router's interface to the systems around it: names and formats, without decisions.
 type Environment struct {
 	Log     eventlog.Log
 	Headers forward.Headers
-	// Topics of the shared log. Hosts, Budgets and Archive are this product's own.
+	// Topics of the shared log. Hosts, Budgets and Archive are private to the routers.
 	ConfigTopic, TargetsTopic, HostsTopic, BudgetsTopic, ArchiveTopic string
-	// MaxRecordBytes is the size of the largest record that the log takes.
+	// MaxRecordBytes is the size of the largest record that the log accepts.
 	MaxRecordBytes int
 	// ConfigKey is the key of the configuration in its topic.
 	ConfigKey    string
 	DecodeConfig func(value []byte) (*routing.Config, error)
 	DecodeTarget func(id string, value []byte) (target.Entry, error)
-	// DecodeEvacuation reads the records in the configuration's topic that order
-	// evacuations or take them back; ok is false for all others. nil: there are none.
+	// DecodeEvacuation decodes the records of the configuration's topic that order or withdraw
+	// evacuations; ok is false for all others. nil: there are none.
 	DecodeEvacuation func(rec eventlog.Record) (e routing.Evacuation, ok bool, err error)
-	// StatusTopic is where the states of rollouts are kept.
+	// StatusTopic is the topic of the states of rollouts.
 	StatusTopic string
-	// DecodeOrder reads the records in the configuration's topic that order rollouts, or take them
-	// back: then only the service is set. ok is false for all others. nil: there are none.
+	// DecodeOrder decodes the records of the configuration's topic that order rollouts, or withdraw
+	// an order: then only the service is set. ok is false for all others. nil: there are none.
 	DecodeOrder func(rec eventlog.Record) (o rollout.Order, inForce, ok bool, err error)
 	EncodeState func(r rollout.Record) eventlog.Record
-	// DecodeState reads the records of states; ok is false for all others.
+	// DecodeState decodes the records of rollout states; ok is false for all others.
 	DecodeState func(rec eventlog.Record) (r rollout.Record, ok bool, err error)
-	// ReadyPath is where the platform asks whether the host is ready.
+	// ReadyPath is the path of the platform's readiness check.
 	ReadyPath string
 }
 
 // Node is one router host.
 type Node struct {
-	cfg          *settings.Settings // of the start
-	reload       sync.Mutex
-	latest       *settings.Settings // last reloaded, guarded by reload
-	outside      Environment
-	observer     *observe.Observer
-	handler      *forward.Handler
-	targets      *target.Registry
-	treasury     *prepaid.Allocator
-	fleet        *fleet.Fleet
-	retries      *retrybudget.Set
-	overload     *overload.Monitor
-	unread       *unread.Tracker
-	guard        *quarantine.Guard
-	watch        *suspend.Detector
-	woke         atomic.Pointer[wake] // from the newest suspension
-	accounts     *accounts
-	ignored      *logging.Limiter // of lines about entries that name no target
-	rollouts     *rollouts
-	calls        *logcount.Log
-	limitNotices *limitNotices
+	cfg            *settings.Settings // at the start
+	reloadMu       sync.Mutex
+	reloaded       *settings.Settings // last reloaded; guarded by reloadMu
+	env            Environment
+	observer       *observe.Observer
+	handler        *forward.Handler
+	targets        *target.Registry
+	treasury       *prepaid.Allocator
+	fleet          *fleet.Fleet
+	retries        *retrybudget.Set
+	overload       *overload.Monitor
+	unread         *unread.Tracker
+	guard          *quarantine.Guard
+	suspensions    *suspend.Detector
+	lastWake       atomic.Pointer[wake] // of the newest suspension
+	balances       *balanceLog
+	invalidEntries *logging.Limiter // limits lines about invalid entries
+	rollouts       *rollouts
+	calls          *logcount.Log
+	limitNotices   *limitNotices
 
-	configCopy, targetsCopy, hostsCopy *replica.Replica
+	configReplica, targetsReplica, hostsReplica *replica.Replica
 
-	server    *graceful.Server
-	aux       []*http.Server // ready, peers, metrics
-	pending   configQueue
-	started   time.Time
-	changed   chan struct{}             // a configuration is pending
-	stopBegan atomic.Pointer[time.Time] // set by a planned stop
-	stopping  chan struct{}
-	stopOnce  sync.Once
+	server         *graceful.Server
+	auxServers     []*http.Server // readiness, peers, metrics
+	pendingConfigs configQueue
+	started        time.Time
+	configQueued   chan struct{}             // a configuration is queued
+	stopStarted    atomic.Pointer[time.Time] // set when a graceful shutdown begins
+	stopping       chan struct{}
+	stopOnce       sync.Once
 }
 
-// New puts a node together; Run starts it.
-func New(cfg *settings.Settings, outside Environment, incarnation string) *Node {
-	return newWith(cfg, outside, incarnation, suspend.SystemClocks())
+// New makes a node; Run starts it.
+func New(cfg *settings.Settings, env Environment, incarnation string) *Node {
+	return newWithClocks(cfg, env, incarnation, suspend.SystemClocks())
 }
 
-// newWith is New with clocks of the caller's.
-func newWith(cfg *settings.Settings, outside Environment, incarnation string, clocks suspend.Clocks) *Node {
+// newWithClocks is New with the given clocks.
+func newWithClocks(cfg *settings.Settings, env Environment, incarnation string, clocks suspend.Clocks) *Node {
 	n := &Node{
-		cfg: cfg, latest: cfg, outside: outside,
-		observer:     observe.New(cfg.Output.LinesPerSecond),
-		overload:     overload.New(),
-		accounts:     newAccounts(incarnation),
-		ignored:      logging.NewLimiter(ignoredEntryLines),
-		started:      time.Now(),
-		stopping:     make(chan struct{}),
-		changed:      make(chan struct{}, 1),
-		limitNotices: newLimitNotices(),
+		cfg: cfg, reloaded: cfg, env: env,
+		observer:       observe.New(cfg.Output.LinesPerSecond),
+		overload:       overload.New(),
+		balances:       newBalanceLog(incarnation),
+		invalidEntries: logging.NewLimiter(invalidEntryLinesPerSecond),
+		started:        time.Now(),
+		stopping:       make(chan struct{}),
+		configQueued:   make(chan struct{}, 1),
+		limitNotices:   newLimitNotices(),
 	}
-	n.calls = logcount.New(outside.Log, n.countCall)
-	n.outside.Log = n.calls
+	n.calls = logcount.New(env.Log, n.countCall)
+	n.env.Log = n.calls
 	n.targets = target.NewRegistry(target.Options{
 		Domain:      cfg.Host.Domain,
 		Regions:     cfg.Host.RegionOf(),
-		DrainLimit:  drainPart(settings.Milliseconds(cfg.Bounds.DrainMs)),
+		DrainLimit:  drainWindow(settings.Milliseconds(cfg.Bounds.DrainMs)),
 		DialTimeout: settings.Milliseconds(cfg.Targets.DialMs),
 		IdleTimeout: settings.Milliseconds(cfg.Targets.IdleMs),
 		MaxIdle:     cfg.Targets.MaxIdle,
@@ -130,7 +129,7 @@
 		Hosts:       n.hostCount,
 	})
 	n.targets.SetLimitBounds(limitBounds(cfg.Bounds))
-	n.copies()
+	n.newReplicas()
 	n.rollouts = n.newRollouts(incarnation)
 	n.newGuard()
 	n.newFleet(incarnation)
@@ -139,80 +138,80 @@
 	n.newTreasury(incarnation)
 	n.unread = unread.New(int64(cfg.Callers.UnreadBytes), func() { n.observer.Count("callers_cut_total") })
 	n.handler = forward.New(forward.Options{
-		Names: outside.Headers, Targets: n.targets, Budgets: n.treasury, Retries: n.retries,
+		Names: env.Headers, Targets: n.targets, Budgets: n.treasury, Retries: n.retries,
 		Meter: streampace.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
-		Observer: n.observer, CloseConnections: n.leaving, MayBegin: n.admits, Suspended: n.lost, Rollouts: n.rollouts,
+		Observer: n.observer, CloseConnections: n.leaving, MayBegin: n.admits, Suspended: n.suspendedTime, Rollouts: n.rollouts,
 	})
-	n.watch = suspend.New(clocks, n.resumed)
-	n.gauges()
+	n.suspensions = suspend.New(clocks, n.resumed)
+	n.registerGauges()
 	return n
 }
 
-// knownHosts counts the hosts, 0 before it is known which there are.
+// knownHosts counts the hosts, 0 before they are known.
 func (n *Node) knownHosts() int {
-	if !n.hostsCopy.Loaded() {
+	if !n.hostsReplica.Loaded() {
 		return 0
 	}
 	return n.fleet.Size()
 }
 
-// lost is how long the host was suspended in all.
-func (n *Node) lost() time.Duration { return n.watch.Total() }
+// suspendedTime is how long the host was suspended in total.
+func (n *Node) suspendedTime() time.Duration { return n.suspensions.Total() }
 
-// drainPart is the part of the time allowed in which a leaving target may still
-// be chosen when no other is left.
-func drainPart(d time.Duration) time.Duration { return d / 2 }
+// drainWindow is the part of the time allowed in which a draining target may still be chosen if there is
+// no other.
+func drainWindow(d time.Duration) time.Duration { return d / 2 }
 
-func (n *Node) copies() {
+func (n *Node) newReplicas() {
 	poll, slack := settings.Milliseconds(n.cfg.Log.LongPollMs), settings.Milliseconds(n.cfg.Log.TimeoutMs)
-	copyOf := func(topic string, pace time.Duration, onChange func([]replica.Change)) *replica.Replica {
+	newReplica := func(topic string, pace time.Duration, onChange func([]replica.Change)) *replica.Replica {
 		return replica.New(replica.Options{
-			Log: n.outside.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
+			Log: n.env.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
 			OnChange:       onChange,
-			OnConnectivity: func(err error) { n.contact(topic, err) },
+			OnConnectivity: func(err error) { n.logConnectivity(topic, err) },
 			Hosts:          n.hostCount,
 		})
 	}
 	pace := settings.Milliseconds(n.cfg.Log.PaceMs)
-	n.configCopy = copyOf(n.outside.ConfigTopic, 0, n.configChanged)
-	n.targetsCopy = replica.New(replica.Options{
-		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.TargetsTopic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
+	n.configReplica = newReplica(n.env.ConfigTopic, 0, n.configChanged)
+	n.targetsReplica = replica.New(replica.Options{
+		Log: n.env.Log, Partition: eventlog.Partition{Topic: n.env.TargetsTopic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
 		OnChange:       n.targetsChanged,
-		OnConnectivity: func(err error) { n.contact(n.outside.TargetsTopic, err) },
+		OnConnectivity: func(err error) { n.logConnectivity(n.env.TargetsTopic, err) },
 		Relay: func(ctx context.Context, from int64) (replica.Update, bool) {
-			return n.fleet.Relay(ctx, n.outside.TargetsTopic, from)
+			return n.fleet.Relay(ctx, n.env.TargetsTopic, from)
 		},
 		DedupKey: n.targetMeaning,
 		Hosts:    n.hostCount,
 	})
-	n.hostsCopy = copyOf(n.outside.HostsTopic, hostsPace, n.hostsChanged)
+	n.hostsReplica = newReplica(n.env.HostsTopic, hostsPollInterval, n.hostsChanged)
 }
 
 // hostCount counts the hosts as far as they are known.
 func (n *Node) hostCount() int { return n.fleet.Size() }
 
-// noTarget is the meaning of an entry that names no target to use.
+// noTarget is the deduplication key of an entry that names no usable target.
 type noTarget struct{}
 
-// targetMeaning is what counts of an entry of the list: most records are heartbeats,
-// which change nothing.
+// targetMeaning is the part of a list entry that matters: most records are heartbeats, which change
+// nothing.
 func (n *Node) targetMeaning(rec eventlog.Record) any {
 	if len(rec.Value) == 0 {
 		return nil
 	}
-	entry, err := n.outside.DecodeTarget(rec.Key, rec.Value)
+	entry, err := n.env.DecodeTarget(rec.Key, rec.Value)
 	if err != nil {
 		return noTarget{}
 	}
 	return entry
 }
 
-// Paces of what hosts do for each other.
+// Intervals of the communication between hosts.
 const (
-	hostsPace     = 3 * time.Second
-	announceEvery = 8 * time.Second
-	pullEvery     = 300 * time.Millisecond
-	peerTimeout   = 500 * time.Millisecond
+	hostsPollInterval = 3 * time.Second
+	announceInterval  = 8 * time.Second
+	pullInterval      = 300 * time.Millisecond
+	peerTimeout       = 500 * time.Millisecond
 )
 
 func (n *Node) newFleet(incarnation string) {
@@ -220,12 +219,12 @@
 		Self: fleet.Host{
 			Name: n.cfg.Host.Name, Incarnation: incarnation, Address: n.cfg.Host.PeerListen, Domain: n.cfg.Host.Domain,
 		},
-		Log: n.outside.Log, Topic: n.outside.HostsTopic, Seeds: n.cfg.Host.Seeds,
-		AnnounceInterval: announceEvery, PullInterval: pullEvery, CallTimeout: peerTimeout,
+		Log: n.env.Log, Topic: n.env.HostsTopic, Seeds: n.cfg.Host.Seeds,
+		AnnounceInterval: announceInterval, PullInterval: pullInterval, CallTimeout: peerTimeout,
 		Replicas: map[string]*replica.Replica{
-			n.outside.ConfigTopic:  n.configCopy,
-			n.outside.TargetsTopic: n.targetsCopy,
-			n.outside.HostsTopic:   n.hostsCopy,
+			n.env.ConfigTopic:  n.configReplica,
+			n.env.TargetsTopic: n.targetsReplica,
+			n.env.HostsTopic:   n.hostsReplica,
 		},
 		Lend:       func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan { return n.treasury.Lend(ctx, ask) },
 		Recall:     func(id string) int64 { return n.treasury.Recall(id) },
@@ -237,34 +236,34 @@
 	})
 }
 
-// Figures of the second copies of topics.
+// Parameters of the archive.
 const (
-	// archiveEvery bounds how old the copy is that a host starts with. A copy costs some
-	// 30 KB at each of archiveCopies partitions.
-	archiveEvery    = time.Second
-	archivePatience = 150 * time.Millisecond
-	archiveCopies   = 3
+	// archiveInterval bounds the age of the snapshot that a host starts with. A snapshot costs some
+	// 30 KB at each of archivePartitions partitions.
+	archiveInterval      = time.Second
+	archiveFallbackDelay = 150 * time.Millisecond
+	archivePartitions    = 3
 )
 
-// newArchive keeps second copies of configuration and list for starts while the log
-// is out of reach in part.
+// newArchive makes the archive, which has snapshots of configuration and targets for starts while
+// parts of the log are unreachable.
 func (n *Node) newArchive() *archive.Archive {
 	return archive.New(archive.Options{
-		Log: n.outside.Log, Topic: n.outside.ArchiveTopic, MaxRecordBytes: n.outside.MaxRecordBytes,
-		Partitions:    min(archiveCopies, n.cfg.Log.Partitions),
-		WriteInterval: archiveEvery, FallbackDelay: archivePatience, CallTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
+		Log: n.env.Log, Topic: n.env.ArchiveTopic, MaxRecordBytes: n.env.MaxRecordBytes,
+		Partitions:    min(archivePartitions, n.cfg.Log.Partitions),
+		WriteInterval: archiveInterval, FallbackDelay: archiveFallbackDelay, CallTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		Replicas: map[string]*replica.Replica{
-			n.outside.ConfigTopic:  n.configCopy,
-			n.outside.TargetsTopic: n.targetsCopy,
+			n.env.ConfigTopic:  n.configReplica,
+			n.env.TargetsTopic: n.targetsReplica,
 		},
-		IsWriter: func() bool { return n.fleet.IsPrimary(n.outside.ArchiveTopic) },
+		IsWriter: func() bool { return n.fleet.IsPrimary(n.env.ArchiveTopic) },
 	})
 }
 
 func (n *Node) newTreasury(incarnation string) {
 	b := n.cfg.Budgets
 	n.treasury = prepaid.New(prepaid.Options{
-		Log: n.outside.Log, Topic: n.outside.BudgetsTopic, Partitions: n.cfg.Log.Partitions,
+		Log: n.env.Log, Topic: n.env.BudgetsTopic, Partitions: n.cfg.Log.Partitions,
 		Host:              n.cfg.Host.Name + "/" + incarnation,
 		Sizing:            plan(n.cfg),
 		Timeout:           settings.Milliseconds(n.cfg.Log.TimeoutMs),
@@ -275,83 +274,83 @@
 		Borrow:            n.fleet.Borrow,
 		BorrowFromKeepers: n.fleet.BorrowFromKeepers,
 		TransferIdle:      n.fleet.TransferIdle,
-		BeforeTransfer:    func(h prepaid.Holding) { n.accounts.tell([]prepaid.Holding{h}) },
+		BeforeTransfer:    func(h prepaid.Holding) { n.balances.write([]prepaid.Holding{h}) },
 		FetchHistory:      n.fleet.FetchHistory,
 		AllHostsLost:      n.fleet.AllHostsLost,
-		LogAvailable:      func() bool { up, _ := n.configCopy.Up(); return up },
+		LogAvailable:      func() bool { up, _ := n.configReplica.Up(); return up },
 		OnCall:            func(outcome string) { n.observer.Count(fmt.Sprintf("budget_appends_total{outcome=%q}", outcome)) },
 	})
 }
 
-// keepers says how many hosts hold the tokens of a budget and whether this one is among
-// them: it is not before it knows the other hosts, or it would take the slice of a host
-// that is alone.
+// keepers returns how many hosts keep the tokens of a budget and whether this host is one of them. It
+// is not before it knows the other hosts: until then it would take itself for the only host, and take
+// that host's allocation.
 func (n *Node) keepers(organisation string) (count int, self bool) {
-	if !n.hostsCopy.Loaded() {
+	if !n.hostsReplica.Loaded() {
 		return 1, false
 	}
 	return n.fleet.Keepers(organisation)
 }
 
-// elected says whether this host is one of those that share a duty: never before it knows
-// the other hosts, nor once it has told them that it leaves.
+// elected reports whether this host is one of those that share a duty: not before it knows the other
+// hosts, and not once it has announced that it is leaving.
 func (n *Node) elected(duty string, count int) (hosts int, self bool) {
-	if !n.hostsCopy.Loaded() || n.Draining() {
+	if !n.hostsReplica.Loaded() || n.Draining() {
 		return count, false
 	}
 	return n.fleet.Elected(duty, count)
 }
 
-// contact logs that the log was lost or regained.
-func (n *Node) contact(topic string, err error) {
+// logConnectivity logs that the log became unavailable or available again.
+func (n *Node) logConnectivity(topic string, err error) {
 	entry := log.WithFields(log.Fields{"dependency": "log", "topic": topic})
 	if err != nil {
-		entry.WithError(err).Warn("dependency lost")
+		entry.WithError(err).Warn("dependency unavailable")
 		return
 	}
-	entry.Info("dependency regained")
+	entry.Info("dependency available again")
 }
 
-// Run serves until ctx ends or a planned stop is done.
+// Run serves until ctx ends or a graceful shutdown is done.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if err := n.listen(); err != nil {
 		return err
 	}
-	guard.Go("configuration copy", func() { n.configCopy.Run(ctx) })
-	guard.Go("targets copy", func() { n.targetsCopy.Run(ctx) })
-	guard.Go("hosts copy", func() { n.hostsCopy.Run(ctx) })
+	guard.Go("configuration copy", func() { n.configReplica.Run(ctx) })
+	guard.Go("targets copy", func() { n.targetsReplica.Run(ctx) })
+	guard.Go("hosts copy", func() { n.hostsReplica.Run(ctx) })
 	guard.Go("configuration", func() { n.applyConfigs(ctx) })
 	guard.Go("archive", func() { n.newArchive().Run(ctx) })
 	guard.Go("fleet", func() { n.fleet.Run(ctx) })
 	guard.Go("treasury", func() { n.treasury.Run(ctx) })
 	guard.Go("quarantine", func() { n.guard.Run(ctx) })
-	guard.Go("limits of targets", func() { n.followLimits(ctx) })
+	guard.Go("limits of targets", func() { n.exchangeLimits(ctx) })
 	guard.Go("unread answers", func() { n.unread.Run(ctx) })
 	guard.Go("rollouts", func() { n.rollouts.run(ctx) })
-	guard.Go("suspensions", func() { n.watch.Run(ctx) })
+	guard.Go("suspensions", func() { n.suspensions.Run(ctx) })
 	guard.Go("housekeeping", func() { n.housekeeping(ctx) })
-	tellLast := n.tellAccounts(ctx)
+	logLast := n.startBalanceLog(ctx)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-n.stopping:
 	}
 	n.drain(ctx)
-	tellLast()
+	logLast()
 	return nil
 }
 
-// Draining says whether a planned stop has begun.
-func (n *Node) Draining() bool { return n.stopBegan.Load() != nil }
+// Draining reports whether a graceful shutdown has begun.
+func (n *Node) Draining() bool { return n.stopStarted.Load() != nil }
 
-// leaving says whether callers had better use other hosts.
+// leaving reports whether callers should use other hosts.
 func (n *Node) leaving() bool { return n.Draining() || n.overload.IsUnready(time.Now()) }
 
-// Ready says whether the host takes new connections.
+// Ready reports whether the host accepts new connections.
 func (n *Node) Ready() bool {
-	return !n.leaving() && n.handler.Config() != nil && n.targetsCopy.Loaded() && n.knowsQuarantine() && !n.catchingUp()
+	return !n.leaving() && n.handler.Config() != nil && n.targetsReplica.Loaded() && n.quarantineLoaded() && !n.catchingUp()
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
--- a/router/node/node_test.go
+++ b/router/node/node_test.go
@@ -15,8 +15,8 @@
 	"maststage.dev/standin/backend"
 )
 
-// Over several hosts, one of them killed, no more is run than was prepaid.
-func TestBudgetHoldsAcrossHostsAndKills(t *testing.T) {
+// Over several hosts, one of them killed, no more tokens are used than were prepaid.
+func TestBudgetIsNotOverspentWhenAHostIsKilled(t *testing.T) {
 	f := newFleet(t)
 	const limit = 5000 // 50 requests of 100 tokens at most, 62 in fact
 	f.publish(config(1, engineRoute, fmt.Sprintf(`,"organisations":[{"name":"o","keys":["k"],"prepaid":%d}]`, limit)))
@@ -57,7 +57,7 @@
 	f.is.True(refused > 0)
 }
 
-// A host whose own link is full is not ready, so that its callers are balanced elsewhere.
+// A host whose own network link is saturated is not ready, so that its callers are balanced elsewhere.
 func TestOverloadedHostIsNotReady(t *testing.T) {
 	f := newFleet(t)
 	f.publish(config(1, plainRoute, ""))
@@ -69,7 +69,7 @@
 	f.is.True(!h.Ready())
 }
 
-func TestReload(t *testing.T) {
+func TestReloadAppliesValidSettingsOnly(t *testing.T) {
 	f := newFleet(t)
 	cfg := f.settings("h1")
 	h := f.start(cfg)
@@ -84,13 +84,13 @@
 	f.is.Equal(log.GetLevel(), log.WarnLevel)
 	f.is.True(!h.retries.ForService("s").Spend(time.Now()))
 	h.Reload(write(base + "[bounds]\nretry_slack=bad\n")) // changes nothing
-	f.is.Equal(h.latest.Bounds.RetrySlack, 0.0)
+	f.is.Equal(h.reloaded.Bounds.RetrySlack, 0.0)
 	h.Reload(filepath.Join(t.TempDir(), "missing.ini"))
-	f.is.Equal(h.latest.Bounds.RetrySlack, 0.0)
+	f.is.Equal(h.reloaded.Bounds.RetrySlack, 0.0)
 	log.SetLevel(log.InfoLevel)
 }
 
-func TestMetrics(t *testing.T) {
+func TestMetricsAreServed(t *testing.T) {
 	f := newFleet(t)
 	f.publish(config(1, plainRoute, `,"organisations":[{"name":"o","keys":["k"],"prepaid":1000}]`))
 	f.backend("t1", backend.Behaviour{Body: "one"})
--- a/router/node/quarantine.go
+++ b/router/node/quarantine.go
@@ -11,9 +11,9 @@
 	"maststage.dev/router/settings"
 )
 
-// newGuard makes the guard against requests that crash targets. Its entries last in the
-// hosts' topic: a topic of their own would cost each host a call to the log every three
-// seconds, for some entries a day.
+// newGuard makes the guard against requests that crash targets. Its entries are stored in the hosts'
+// topic: a topic of their own would cost each host a call to the log every three seconds, for a few
+// entries per day.
 func (n *Node) newGuard() {
 	n.guard = quarantine.New(quarantine.Options{
 		Host:         n.cfg.Host.Name,
@@ -24,27 +24,26 @@
 	})
 }
 
-// writeHosts puts a record into the hosts' topic.
+// writeHosts writes a record to the hosts' topic.
 func (n *Node) writeHosts(ctx context.Context, rec eventlog.Record) error {
 	call, cancel := context.WithTimeout(ctx, settings.Milliseconds(n.cfg.Log.TimeoutMs))
 	defer cancel()
-	_, err := n.outside.Log.Append(call, eventlog.Partition{Topic: n.outside.HostsTopic}, []eventlog.Record{rec})
+	_, err := n.env.Log.Append(call, eventlog.Partition{Topic: n.env.HostsTopic}, []eventlog.Record{rec})
 	return err
 }
 
-// hostsChanged takes over what the hosts' topic tells.
+// hostsChanged applies changes of the hosts' topic.
 func (n *Node) hostsChanged(changes []replica.Change) {
 	n.fleet.HandleChanges(changes)
 	n.guard.ApplyChanges(changes)
 	n.limitNotices.changed(changes)
 }
 
-// quarantinePatience is how long a host that started waits for the requests in quarantine
-// before it is ready without them: a log that is out of reach must not keep all hosts from
-// serving.
-const quarantinePatience = time.Second
+// quarantineLoadTimeout is how long a starting host waits for the requests in quarantine before it is
+// ready without them: an unreachable log must not keep all hosts from serving.
+const quarantineLoadTimeout = time.Second
 
-// knowsQuarantine says whether the host may serve as far as requests in quarantine go.
-func (n *Node) knowsQuarantine() bool {
-	return n.hostsCopy.Loaded() || time.Since(n.started) > quarantinePatience
+// quarantineLoaded reports whether the host knows enough of the requests in quarantine to serve.
+func (n *Node) quarantineLoaded() bool {
+	return n.hostsReplica.Loaded() || time.Since(n.started) > quarantineLoadTimeout
 }
--- a/router/node/reload.go
+++ b/router/node/reload.go
@@ -10,32 +10,32 @@
 	"maststage.dev/router/settings"
 )
 
-// Reload takes over changed settings. Those of addresses count from the next start
-// on; a file that can't be used changes nothing.
+// Reload applies changed settings. Those of addresses take effect at the next start; an invalid file
+// changes nothing.
 func (n *Node) Reload(path string) {
 	fresh, err := settings.Load(path)
 	if err != nil {
 		log.WithError(err).Error("settings not reloaded; the present ones stay in force")
 		return
 	}
-	n.reload.Lock()
-	defer n.reload.Unlock()
-	if reflect.DeepEqual(fresh, n.latest) {
-		log.Info("settings reloaded, nothing changed")
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
+	if reflect.DeepEqual(fresh, n.reloaded) {
+		log.Info("settings reloaded without changes")
 		return
 	}
 	if fresh.Host.Listen != n.cfg.Host.Listen || fresh.Host.ReadyListen != n.cfg.Host.ReadyListen || fresh.Host.PeerListen != n.cfg.Host.PeerListen || fresh.Log != n.cfg.Log {
-		log.Warn("settings of addresses or of the log changed; they count from the next start on")
+		log.Warn("settings of addresses or of the log changed; they take effect at the next start")
 	}
-	n.latest = fresh
+	n.reloaded = fresh
 	n.retries.SetLimits(retryLimits(fresh))
 	n.treasury.SetSizing(plan(fresh))
 	n.fleet.SetSeeds(fresh.Host.Seeds)
 	n.targets.SetRegions(fresh.Host.RegionOf())
-	n.targets.SetDrainLimit(drainPart(settings.Milliseconds(fresh.Bounds.DrainMs)))
+	n.targets.SetDrainLimit(drainWindow(settings.Milliseconds(fresh.Bounds.DrainMs)))
 	n.targets.SetLimitBounds(limitBounds(fresh.Bounds))
 	if config := n.handler.Config(); config != nil {
-		n.setCold(config, fresh.Bounds)
+		n.setColdLimits(config, fresh.Bounds)
 	}
 	if level, err := log.ParseLevel(fresh.Output.Level); err == nil {
 		log.SetLevel(level)
@@ -45,9 +45,9 @@
 
 // newestSettings are those of the last reload.
 func (n *Node) newestSettings() *settings.Settings {
-	n.reload.Lock()
-	defer n.reload.Unlock()
-	return n.latest
+	n.reloadMu.Lock()
+	defer n.reloadMu.Unlock()
+	return n.reloaded
 }
 
 func retryLimits(s *settings.Settings) retrybudget.Limits {
--- a/router/node/rollout_test.go
+++ b/router/node/rollout_test.go
@@ -78,10 +78,10 @@
 	return r.State
 }
 
-// load sends requests to hosts in turn until it is stopped, and counts those that came whole.
+// load sends requests to hosts in turn until it is stopped, and counts the completed ones.
 type load struct {
-	whole, failed atomic.Int64
-	stop          func()
+	completed, failed atomic.Int64
+	stop              func()
 }
 
 func (f *testFleet) load(every time.Duration, hosts ...*host) *load {
@@ -93,7 +93,7 @@
 			all.Go(func() {
 				got := f.call(hosts[i%len(hosts)], "/r/x", "")
 				if got.status == 200 {
-					l.whole.Add(1)
+					l.completed.Add(1)
 					return
 				}
 				l.failed.Add(1)
@@ -128,8 +128,8 @@
 	return f, hosts, old
 }
 
-// A good version is tried by a few requests, moved to, and done within the period; the old targets
-// then stop at once, and no request fails.
+// A good version is tried with a few requests, and done within the period; the old targets then stop at
+// once, and no request fails.
 func TestGoodVersionIsRolledOut(t *testing.T) {
 	f, hosts, old := rolloutFleet(t)
 	l := f.load(5*time.Millisecond, hosts...)
@@ -144,7 +144,7 @@
 	f.is.True(float64(tried) <= 0.1*float64(all)+50)
 	f.eventually("the rollout is done", func() bool { return f.state() == rollout.Done })
 	f.is.True(time.Since(began) < period)
-	time.Sleep(100 * time.Millisecond) // hosts hear of it
+	time.Sleep(100 * time.Millisecond) // hosts receive the state
 	for _, b := range old {
 		b.Close()
 		f.unlist(b.ID)
@@ -156,8 +156,8 @@
 	f.is.Equal(l.failed.Load(), int64(0))
 }
 
-// A version whose answers fail is rolled back after some of them, for good: no host sends it
-// anything any more, nor does one that starts later.
+// A version whose responses fail is rolled back after some of them, finally: no host sends it anything
+// more, nor does one that starts later.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	f, hosts, _ := rolloutFleet(t)
 	l := f.load(5*time.Millisecond, hosts...)
@@ -166,7 +166,7 @@
 	f.eventually("it is rolled back", func() bool { return f.state() == rollout.RolledBack })
 	time.Sleep(100 * time.Millisecond)
 	bad := runsOf(fresh)
-	t.Logf("%d bad answers", bad)
+	t.Logf("%d bad responses", bad)
 	f.is.True(bad < 50+20)
 	f.order("v2", 12*time.Second) // again
 	late := f.start(f.settings("late"))
@@ -177,12 +177,11 @@
 	more.stop()
 	f.is.Equal(runsOf(fresh), bad)
 	f.is.Equal(f.state(), rollout.RolledBack)
-	f.is.True(more.whole.Load() > 20)
+	f.is.True(more.completed.Load() > 20)
 }
 
-// An order that is taken back before it is decided counts as rolled back, and one that can't be
-// read changes nothing.
-func TestOrderTakenBack(t *testing.T) {
+// An order that is withdrawn before it is decided is rolled back, and an invalid one changes nothing.
+func TestWithdrawnOrderIsRolledBack(t *testing.T) {
 	f, hosts, _ := rolloutFleet(t)
 	l := f.load(10*time.Millisecond, hosts...)
 	f.log.Put(eventlog.Partition{Topic: topicConfig}, rolloutPrefix+"s", []byte("{"))
@@ -199,9 +198,9 @@
 	f.is.Equal(l.failed.Load(), int64(0))
 }
 
-// A good version is done in time though the log is away in between; a host that the log turns away
-// all the while goes over as the old targets stop.
-func TestRolloutBesideAnOutage(t *testing.T) {
+// A good version is done in time despite an outage of the log; a host that can't reach the log at all
+// uses the new version when the old targets stop.
+func TestRolloutFinishesDespiteALogOutage(t *testing.T) {
 	f, hosts, old := rolloutFleet(t)
 	l := f.load(5*time.Millisecond, hosts...)
 	const period = 8 * time.Second
@@ -219,7 +218,7 @@
 	for _, b := range old {
 		f.unlist(b.ID)
 	}
-	f.eventually("the host that is turned away serves by the new version", func() bool {
+	f.eventually("the host without the log uses the new version", func() bool {
 		return f.only(hosts[0], "") || f.call(hosts[0], "/r/x", "").status == 200
 	})
 	l.stop()
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -17,52 +17,51 @@
 	"maststage.dev/router/target"
 )
 
-// Figures of rollouts.
+// Timing of rollouts.
 const (
-	// conductEvery is the time between two looks at the evidence of a rollout that this host
-	// conducts.
-	conductEvery = 500 * time.Millisecond
-	// stateAge is how long ago the log must have told of the states for this host to decide.
-	stateAge = 3 * time.Second
-	// listedFor is how long a count of a service's targets is used: requests ask for it while a
-	// rollout is undecided, and a count of all targets costs each of them as much as its choice.
-	listedFor = 200 * time.Millisecond
+	// evaluateInterval is the time between two evaluations of a rollout that this host coordinates.
+	evaluateInterval = 500 * time.Millisecond
+	// maxStateAge is how long ago the log must have confirmed the states for this host to decide.
+	maxStateAge = 3 * time.Second
+	// versionCountTTL is how long a count of a service's targets is used: requests need it while a
+	// rollout is undecided, and counting all targets costs each of them as much as its choice.
+	versionCountTTL = 200 * time.Millisecond
 )
 
-// rollouts is this host's part in moving services to new versions: it follows orders and states,
-// reports what it sees, and conducts where other hosts ask it to.
+// rollouts is this host's part in rollouts: it follows orders and states, reports the outcomes of its
+// requests, and coordinates rollouts when other hosts ask it to.
 type rollouts struct {
-	node   *Node
-	gate   *rollout.Gate
-	states *replica.Replica
-	news   chan struct{} // full: an order came or went
+	node          *Node
+	gate          *rollout.Gate
+	states        *replica.Replica
+	ordersChanged chan struct{} // full: an order was given or withdrawn
 
-	mu         sync.Mutex
-	conductors map[rollout.Order]*rollout.Coordinator
-	lists      map[string]listed // by service
+	mu            sync.Mutex
+	coordinators  map[rollout.Order]*rollout.Coordinator
+	versionCounts map[string]versionCount // by service
 }
 
-// listed is how many targets of a service each version had at a moment.
-type listed struct {
+// versionCount is how many targets of a service each version had at some time.
+type versionCount struct {
 	at       time.Time
 	versions map[string]int
 }
 
 func (n *Node) newRollouts(incarnation string) *rollouts {
-	r := &rollouts{node: n, news: make(chan struct{}, 1), conductors: map[rollout.Order]*rollout.Coordinator{}, lists: map[string]listed{}}
+	r := &rollouts{node: n, ordersChanged: make(chan struct{}, 1), coordinators: map[rollout.Order]*rollout.Coordinator{}, versionCounts: map[string]versionCount{}}
 	r.gate = rollout.NewGate(n.cfg.Host.Name+"/"+incarnation, r.ordersKnown)
 	r.states = replica.New(replica.Options{
-		Log: n.outside.Log, Partition: eventlog.Partition{Topic: n.outside.StatusTopic},
+		Log: n.env.Log, Partition: eventlog.Partition{Topic: n.env.StatusTopic},
 		LongPoll: settings.Milliseconds(n.cfg.Log.LongPollMs), ReadTimeout: settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		OnChange:       r.statesChanged,
-		OnConnectivity: func(err error) { n.contact(n.outside.StatusTopic, err) },
+		OnConnectivity: func(err error) { n.logConnectivity(n.env.StatusTopic, err) },
 	})
 	return r
 }
 
-// ordersKnown says whether this host knows the orders that were given until a moment.
+// ordersKnown reports whether this host has read all orders given until t.
 func (r *rollouts) ordersKnown(t time.Time) bool {
-	return r.node.outside.DecodeOrder == nil || r.node.configCopy.RefreshedSince(t) || r.node.fleet.PulledSince(t)
+	return r.node.env.DecodeOrder == nil || r.node.configReplica.RefreshedSince(t) || r.node.fleet.PulledSince(t)
 }
 
 // Rule implements forward.Rollouts.
@@ -72,20 +71,20 @@
 	if rule.Only != "" || !r.gate.Undecided(a.Service) {
 		return rule
 	}
-	if version, ok := r.gate.LastResort(a.Service, r.listed(a.Service, now)); ok {
+	if version, ok := r.gate.LastResort(a.Service, r.listedVersions(a.Service, now)); ok {
 		return rollout.Rule{Only: version, Share: 1}
 	}
 	return rule
 }
 
-// listed counts the ready targets of a service by version, as of a moment ago.
-func (r *rollouts) listed(service string, now time.Time) map[string]int {
+// listedVersions counts the ready targets of a service by version, as of a moment ago.
+func (r *rollouts) listedVersions(service string, now time.Time) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.lists[service]
-	if now.Sub(l.at) > listedFor {
-		l = listed{at: now, versions: r.node.targets.CountReadyByVersion(service)}
-		r.lists[service] = l
+	l := r.versionCounts[service]
+	if now.Sub(l.at) > versionCountTTL {
+		l = versionCount{at: now, versions: r.node.targets.CountReadyByVersion(service)}
+		r.versionCounts[service] = l
 	}
 	return l.versions
 }
@@ -101,70 +100,70 @@
 	}
 }
 
-// saw notes the version of a listed target.
-func (r *rollouts) saw(e target.Entry) { r.gate.NoteVersion(e.Service, e.Version, time.Now()) }
+// noteVersion notes the version of a listed target.
+func (r *rollouts) noteVersion(e target.Entry) { r.gate.NoteVersion(e.Service, e.Version, time.Now()) }
 
-// orderChanged takes over an order, or that it was taken back, if the record is one. What can't be
-// read changes nothing.
+// orderChanged applies a record that gives or withdraws an order, if it is one. An invalid one changes
+// nothing.
 func (r *rollouts) orderChanged(c replica.Change) bool {
-	if r.node.outside.DecodeOrder == nil {
+	if r.node.env.DecodeOrder == nil {
 		return false
 	}
-	order, inForce, ok, err := r.node.outside.DecodeOrder(c.Record)
+	order, inForce, ok, err := r.node.env.DecodeOrder(c.Record)
 	fields := log.Fields{"service": order.Service, "version": order.Version, "period": order.Period, "offset": c.Record.Offset}
 	changed := false
 	switch {
 	case !ok:
 		return false
 	case err != nil:
-		log.WithFields(log.Fields{"key": c.Record.Key, "offset": c.Record.Offset}).WithError(err).Error("order of a rollout can't be read and is ignored")
+		log.WithFields(log.Fields{"key": c.Record.Key, "offset": c.Record.Offset}).WithError(err).Error("ignoring an invalid rollout order")
 	case inForce:
 		if changed = r.gate.SetOrder(order, time.Now()); changed {
 			log.WithFields(fields).Info("rollout ordered")
 		}
 	default:
 		if changed = r.gate.WithdrawOrder(order.Service); changed {
-			log.WithFields(fields).Info("order of a rollout taken back")
+			log.WithFields(fields).Info("rollout order withdrawn")
 		}
 	}
 	if changed {
 		select {
-		case r.news <- struct{}{}:
+		case r.ordersChanged <- struct{}{}:
 		default:
 		}
 	}
 	return true
 }
 
-// statesChanged takes over the states of rollouts.
+// statesChanged applies changes of the states of rollouts.
 func (r *rollouts) statesChanged(changes []replica.Change) {
 	for _, c := range changes {
-		rec, ok, err := r.node.outside.DecodeState(c.Record)
+		rec, ok, err := r.node.env.DecodeState(c.Record)
 		switch {
 		case !ok:
 		case err != nil:
-			log.WithFields(log.Fields{"key": c.Record.Key, "offset": c.Record.Offset}).WithError(err).Error("state of a rollout can't be read and is ignored")
+			log.WithFields(log.Fields{"key": c.Record.Key, "offset": c.Record.Offset}).WithError(err).Error("ignoring an invalid rollout state")
 		default:
-			log.WithFields(log.Fields{"service": rec.Service, "version": rec.Version, "state": rec.State, "base": rec.Base, "barred": rec.Barred}).Info("state of a rollout")
+			log.WithFields(log.Fields{"service": rec.Service, "version": rec.Version, "state": rec.State, "base": rec.Base, "barred": rec.Barred}).Info("rollout state received")
 			r.gate.SetRecord(rec)
 		}
 	}
 }
 
-// run takes part in rollouts until ctx ends. Without one it makes no call.
+// run takes part in rollouts until ctx ends. Without a rollout it makes no calls.
 func (r *rollouts) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.news:
+		case <-r.ordersChanged:
 			r.follow(ctx)
 		}
 	}
 }
 
-// open says whether a rollout is not decided.
-func (r *rollouts) open() bool {
+// undecided reports whether any rollout is undecided.
+func (r *rollouts) undecided() bool {
 	return len(r.gate.UndecidedOrders()) > 0 || len(r.gate.OrphanedRecords()) > 0
 }
 
@@ -175,8 +174,8 @@
 	defer all.Wait()
 	defer cancel()
 	all.Go(func() { r.states.Run(ctx) })
-	all.Go(func() { r.conductAll(ctx) })
-	for ctx.Err() == nil && (r.open() || !r.states.Loaded()) {
+	all.Go(func() { r.coordinateAll(ctx) })
+	for ctx.Err() == nil && (r.undecided() || !r.states.Loaded()) {
 		for order := range r.gate.UndecidedOrders() {
 			r.report(ctx, order)
 		}
@@ -184,7 +183,7 @@
 	}
 }
 
-// report tells the host that conducts what this one saw.
+// report sends this host's report to the coordinating host.
 func (r *rollouts) report(ctx context.Context, o rollout.Order) {
 	report, ok := r.gate.Report(o)
 	if !ok {
@@ -197,59 +196,59 @@
 
 // Conduct implements fleet.Rollouts.
 func (r *rollouts) Conduct(report rollout.Report) rollout.Advice {
-	order, heard, ok := r.orderOf(report)
+	order, received, ok := r.orderOf(report)
 	if !ok {
-		return rollout.Advice{Phase: rollout.PhaseHeld} // this host has not heard of it yet
+		return rollout.Advice{Phase: rollout.PhaseHeld} // this host has not read the order yet
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.conductors[order]
+	c := r.coordinators[order]
 	if c == nil {
 		b := r.node.newestSettings().Bounds
-		c = rollout.NewCoordinator(order, rollout.Bounds{Share: b.ExposureShare, Slack: b.ExposureSlack}, heard)
-		r.conductors[order] = c
+		c = rollout.NewCoordinator(order, rollout.Bounds{Share: b.ExposureShare, Slack: b.ExposureSlack}, received)
+		r.coordinators[order] = c
 	}
 	c.AddReport(report)
 	return c.Advise(r.view(order), time.Now())
 }
 
-// orderOf finds the order that a report is about.
-func (r *rollouts) orderOf(report rollout.Report) (o rollout.Order, heard time.Time, ok bool) {
-	for o, heard := range r.gate.UndecidedOrders() {
+// orderOf returns the order that a report belongs to.
+func (r *rollouts) orderOf(report rollout.Report) (o rollout.Order, received time.Time, ok bool) {
+	for o, received := range r.gate.UndecidedOrders() {
 		if o.Service == report.Service && o.Version == report.Version {
-			return o, heard, true
+			return o, received, true
 		}
 	}
-	return o, heard, false
+	return o, received, false
 }
 
-// view is what this host sees of a rollout beside the reports.
+// view is what this host knows of a rollout besides the reports.
 func (r *rollouts) view(o rollout.Order) rollout.View {
-	up, contact := r.states.Up()
+	up, lastContact := r.states.Up()
 	return rollout.View{
-		Record: r.gate.Record(o.Service), RecordCurrent: up && time.Since(contact) < stateAge,
+		Record: r.gate.Record(o.Service), RecordCurrent: up && time.Since(lastContact) < maxStateAge,
 		Versions: r.node.targets.CountReadyByVersion(o.Service), Hosts: r.node.fleet.Size(),
 	}
 }
 
-// conductAll weighs the evidence of the rollouts that this host conducts, until ctx ends.
-func (r *rollouts) conductAll(ctx context.Context) {
+// coordinateAll evaluates the rollouts that this host coordinates, until ctx ends.
+func (r *rollouts) coordinateAll(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, next := range r.decisions(time.Now()) {
 			r.write(ctx, next)
 		}
-		wait.For(ctx, conductEvery)
+		wait.For(ctx, evaluateInterval)
 	}
 }
 
-// decisions lists the records that are to be written, and forgets the rollouts that are over.
+// decisions returns the records to write, and forgets the rollouts that are decided.
 func (r *rollouts) decisions(now time.Time) (records []rollout.Record) {
-	open := r.gate.UndecidedOrders()
+	undecided := r.gate.UndecidedOrders()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for o, c := range r.conductors {
-		if _, is := open[o]; !is {
-			delete(r.conductors, o)
+	for o, c := range r.coordinators {
+		if _, is := undecided[o]; !is {
+			delete(r.coordinators, o)
 			continue
 		}
 		v := r.view(o)
@@ -266,22 +265,22 @@
 	return records
 }
 
-// write puts a record into the log, unless anything was written there that this host does not know:
-// of two hosts that decide, one does.
+// write writes a record to the log, unless the log has a record that this host has not read: if several
+// hosts decide, one succeeds.
 func (r *rollouts) write(ctx context.Context, rec rollout.Record) {
 	call, cancel := context.WithTimeout(ctx, settings.Milliseconds(r.node.cfg.Log.TimeoutMs))
 	defer cancel()
-	p := eventlog.Partition{Topic: r.node.outside.StatusTopic}
-	_, err := r.node.outside.Log.AppendAt(call, p, r.states.End(), []eventlog.Record{r.node.outside.EncodeState(rec)})
-	line := log.WithFields(log.Fields{"service": rec.Service, "version": rec.Version, "state": rec.State})
+	p := eventlog.Partition{Topic: r.node.env.StatusTopic}
+	_, err := r.node.env.Log.AppendAt(call, p, r.states.End(), []eventlog.Record{r.node.env.EncodeState(rec)})
+	entry := log.WithFields(log.Fields{"service": rec.Service, "version": rec.Version, "state": rec.State})
 	var conflict *eventlog.ConflictError
 	switch {
 	case err == nil:
-		line.Info("state of a rollout written")
+		entry.Info("rollout state written")
 		r.node.observer.Count(fmt.Sprintf("rollout_states_written_total{state=%q}", rec.State))
 	case errors.As(err, &conflict):
-		r.states.Refresh() // another host wrote first
+		r.states.Refresh() // another host was first
 	default:
-		line.WithError(err).Warn("state of a rollout not written")
+		entry.WithError(err).Warn("rollout state not written")
 	}
 }
--- a/router/node/stop.go
+++ b/router/node/stop.go
@@ -12,8 +12,8 @@
 	"maststage.dev/router/settings"
 )
 
-// callerServer makes the server for callers. Its limits are those of the
-// configuration in force when a connection is used; until there is one, defaults.
+// callerServer makes the server for callers. Its limits are those of the configuration in force when a
+// connection is used, and defaults until there is one.
 func (n *Node) callerServer() *graceful.Server {
 	return graceful.New(&http.Server{
 		Handler:           n.handler,
@@ -24,92 +24,92 @@
 	})
 }
 
-// Limits until a configuration says otherwise.
+// Defaults until there is a configuration.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// Figures of a planned stop.
+// Timing of a graceful shutdown.
 const (
-	// noticeTime is how long callers' new connections are still taken, until
-	// whoever balances them has noticed.
+	// noticeTime is how long new connections of callers are still accepted, until load balancers have
+	// noticed.
 	noticeTime = 2500 * time.Millisecond
-	// streamTime and answerTime are how long new streams and other requests are
-	// still taken: callers may go on coming when few hosts are left.
-	streamTime = 3 * time.Second
-	answerTime = 4500 * time.Millisecond
-	// stopMargin of the grace time is kept free for the process's end.
-	stopMargin  = 400 * time.Millisecond
-	returnTime  = time.Second
-	drainLook   = 20 * time.Millisecond
-	quietBefore = 300 * time.Millisecond // without a request before idle connections are closed
+	// streamTime and responseTime are how long new streams and other requests are still accepted:
+	// callers may continue to arrive if few hosts are left.
+	streamTime   = 3 * time.Second
+	responseTime = 4500 * time.Millisecond
+	// stopMargin is the part of the grace time that is reserved for the exit of the process.
+	stopMargin        = 400 * time.Millisecond
+	giveBackTimeout   = time.Second
+	drainPollInterval = 20 * time.Millisecond
+	quietTime         = 300 * time.Millisecond // without a request, before idle connections are closed
 )
 
-// stopPart scales the times above to a grace time that is shorter than they expect.
-func (n *Node) stopPart(d time.Duration) time.Duration {
-	return min(d, time.Duration(float64(d)/float64(usualGrace)*float64(settings.Seconds(n.cfg.Bounds.GraceS))))
+// scaleToGrace scales these times to a grace time shorter than referenceGrace.
+func (n *Node) scaleToGrace(d time.Duration) time.Duration {
+	return min(d, time.Duration(float64(d)/float64(referenceGrace)*float64(settings.Seconds(n.cfg.Bounds.GraceS))))
 }
 
-const usualGrace = 8 * time.Second
+const referenceGrace = 8 * time.Second
 
-// Takes says whether a new request may begin here: a host that is stopping takes
-// none that it might not finish.
-func (n *Node) Takes(streaming bool) bool {
-	began := n.stopBegan.Load()
+// Accepts reports whether a new request may begin at this host: a host that is stopping accepts none that
+// it might not finish.
+func (n *Node) Accepts(streaming bool) bool {
+	began := n.stopStarted.Load()
 	if began == nil {
 		return true
 	}
 	if streaming {
-		return time.Since(*began) < n.stopPart(streamTime)
+		return time.Since(*began) < n.scaleToGrace(streamTime)
 	}
-	return time.Since(*began) < n.stopPart(answerTime)
+	return time.Since(*began) < n.scaleToGrace(responseTime)
 }
 
-// Stop begins a planned stop: the host is no longer ready, finishes what it has
-// and ends within the grace time.
+// Stop begins a graceful shutdown: the host is no longer ready, finishes its requests and exits within
+// the grace time.
 func (n *Node) Stop() {
 	n.stopOnce.Do(func() {
 		now := time.Now()
-		n.stopBegan.Store(&now)
-		log.WithFields(log.Fields{"open": n.handler.InFlight()}).Info("planned stop begins")
+		n.stopStarted.Store(&now)
+		log.WithFields(log.Fields{"open": n.handler.InFlight()}).Info("graceful shutdown started")
 		close(n.stopping)
 	})
 }
 
-// drain waits until no request is under way and none has come for a moment, and
-// gives back what this host holds.
+// drain waits until no request is in flight and none has arrived for a moment, and returns this host's
+// tokens.
 func (n *Node) drain(ctx context.Context) {
 	started := time.Now()
-	last := started.Add(settings.Seconds(n.cfg.Bounds.GraceS) - stopMargin)
+	deadline := started.Add(settings.Seconds(n.cfg.Bounds.GraceS) - stopMargin)
 	quietSince := started
-	for time.Now().Before(last) && ctx.Err() == nil {
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		now := time.Now()
 		if n.handler.InFlight() > 0 {
 			quietSince = now
 		}
-		noticed := now.Sub(started) > n.stopPart(noticeTime) && now.Sub(quietSince) > quietBefore
-		refusing := !n.Takes(false) && n.handler.InFlight() == 0
+		noticed := now.Sub(started) > n.scaleToGrace(noticeTime) && now.Sub(quietSince) > quietTime
+		refusing := !n.Accepts(false) && n.handler.InFlight() == 0
 		if noticed || refusing {
 			break
 		}
-		wait.For(ctx, drainLook)
+		wait.For(ctx, drainPollInterval)
 	}
 	n.giveBack(ctx)
-	n.finish(last)
-	log.WithFields(log.Fields{"open": n.handler.InFlight(), "took": time.Since(started).Round(time.Millisecond)}).Info("planned stop done")
+	n.shutdownServers(deadline)
+	log.WithFields(log.Fields{"open": n.handler.InFlight(), "took": time.Since(started).Round(time.Millisecond)}).Info("graceful shutdown done")
 }
 
-// giveBack returns free tokens, to the log or, while that is out of reach, to
-// another host, and takes the announcement back.
+// giveBack returns free tokens to the log or, if that is unreachable, to another host, and removes this
+// host's announcement.
 func (n *Node) giveBack(ctx context.Context) {
-	c, cancel := context.WithTimeout(ctx, returnTime)
+	c, cancel := context.WithTimeout(ctx, giveBackTimeout)
 	defer cancel()
-	up, _ := n.configCopy.Up()
+	up, _ := n.configReplica.Up()
 	if up {
 		if err := n.treasury.Close(c); err != nil {
-			log.WithError(err).Warn("free tokens not given back to the log")
+			log.WithError(err).Warn("free tokens not returned to the log")
 		}
 	}
 	n.treasury.TransferAll(c, n.fleet.Transfer)
@@ -117,19 +117,19 @@
 		return
 	}
 	if err := n.fleet.Leave(c); err != nil {
-		log.WithError(err).Warn("announcement not taken back")
+		log.WithError(err).Warn("announcement not removed")
 	}
 }
 
-// finish answers what is on its way, closes idle connections and waits for the rest until
-// the grace time ends.
-func (n *Node) finish(last time.Time) {
-	c, cancel := context.WithDeadline(context.Background(), last.Add(stopMargin/2))
+// shutdownServers finishes requests in flight, closes idle connections and waits for the rest until the
+// grace time ends.
+func (n *Node) shutdownServers(deadline time.Time) {
+	c, cancel := context.WithDeadline(context.Background(), deadline.Add(stopMargin/2))
 	defer cancel()
 	if err := n.server.Shutdown(c); err != nil {
 		_ = n.server.Close()
 	}
-	for _, s := range n.aux {
+	for _, s := range n.auxServers {
 		_ = s.Close()
 	}
 }
--- a/router/node/stop_test.go
+++ b/router/node/stop_test.go
@@ -10,9 +10,9 @@
 	"maststage.dev/standin/memlog"
 )
 
-// A planned stop answers what it has taken on, streams included, and gives tokens
-// and place back.
-func TestPlannedStopOfARouter(t *testing.T) {
+// A graceful shutdown finishes accepted requests, streams included, and returns tokens and the host's
+// announcement.
+func TestGracefulShutdownLosesNothing(t *testing.T) {
 	f := newFleet(t)
 	f.publish(config(1, engineRoute+","+plainRoute, `,"organisations":[{"name":"o","keys":["k"],"prepaid":100000}]`))
 	f.engine("e1", backend.Behaviour{Events: 10, Gap: 50 * time.Millisecond})
@@ -24,10 +24,10 @@
 		go func() { replies <- f.call(h, "/e/x", "k") }()
 		go func() { replies <- f.call(h, "/r/x", "k") }()
 	}
-	f.eventually("all are under way", func() bool { return h.handler.InFlight() == 20 })
+	f.eventually("all are in flight", func() bool { return h.handler.InFlight() == 20 })
 	h.Stop()
 	f.is.True(!h.Ready())
-	f.is.Equal(f.call(h, "/r/x", "k").status, 200) // what still comes is served
+	f.is.Equal(f.call(h, "/r/x", "k").status, 200) // what still arrives is served
 	for range 20 {
 		got := <-replies
 		f.is.NoErr(got.err)
@@ -36,7 +36,7 @@
 	select {
 	case <-h.done:
 	case <-time.After(3 * time.Second):
-		t.Fatal("not ended within its grace time")
+		t.Fatal("did not stop within its grace time")
 	}
 	if _, listed := f.log.Get(eventlog.Partition{Topic: topicHosts}, "h1"); listed {
 		t.Fatal("still announced")
@@ -52,8 +52,8 @@
 	f.is.Equal(granted, int64(10*(60+10))) // what the streams used
 }
 
-// A host that stops while the log is out of reach hands its tokens to another.
-func TestPlannedStopWithoutTheLogHandsOver(t *testing.T) {
+// A host that stops while the log is unreachable transfers its tokens to another host.
+func TestGracefulShutdownWithoutTheLogTransfersTokens(t *testing.T) {
 	f := newFleet(t)
 	f.publish(config(1, engineRoute, `,"organisations":[{"name":"o","keys":["k"],"prepaid":100000}]`))
 	a, b := f.start(f.settings("a")), f.start(f.settings("b"))
@@ -63,11 +63,11 @@
 		held, _ := h.treasury.Holding("o")
 		return held.Free
 	}
-	f.eventually("both hold a slice and know each other", func() bool {
+	f.eventually("both have an allocation and know each other", func() bool {
 		return free(a) > 0 && free(b) > 0 && a.fleet.Size() == 2 && b.fleet.Size() == 2
 	})
 	f.log.SetFault("", memlog.Fault{Silent: true})
-	f.eventually("the loss is noticed", func() bool { up, _ := a.configCopy.Up(); return !up })
+	f.eventually("the outage is noticed", func() bool { up, _ := a.configReplica.Up(); return !up })
 	sum := free(a) + free(b)
 	a.Stop()
 	<-a.done
@@ -75,18 +75,18 @@
 	f.is.Equal(free(a), int64(0))
 }
 
-// A stopping host refuses what it could not finish, as not run.
+// A stopping host refuses requests that it could not finish, and reports them as not run.
 func TestStopRefusesLateRequests(t *testing.T) {
 	f := newFleet(t)
 	f.publish(config(1, plainRoute, ""))
 	f.backend("t1", backend.Behaviour{Delay: 100 * time.Millisecond})
 	h := f.start(f.settings("h1"))
 	f.ready(h)
-	past := time.Now().Add(-h.stopPart(answerTime))
-	h.stopBegan.Store(&past)
+	past := time.Now().Add(-h.scaleToGrace(responseTime))
+	h.stopStarted.Store(&past)
 	f.is.Equal(f.call(h, "/r/x", "").status, 503)
-	f.is.True(!h.Takes(true) && !h.Takes(false))
-	between := time.Now().Add(-h.stopPart(streamTime))
-	h.stopBegan.Store(&between)
-	f.is.True(!h.Takes(true) && h.Takes(false))
+	f.is.True(!h.Accepts(true) && !h.Accepts(false))
+	afterStreams := time.Now().Add(-h.scaleToGrace(streamTime))
+	h.stopStarted.Store(&afterStreams)
+	f.is.True(!h.Accepts(true) && h.Accepts(false))
 }
--- a/router/node/suspend.go
+++ b/router/node/suspend.go
@@ -12,13 +12,13 @@
 	"maststage.dev/router/replica"
 )
 
-// Figures of the return from a suspension.
+// Timing of the return from a suspension.
 const (
-	// catchUpMost is how long a host takes nothing at most, if nobody tells it what it has
-	// missed: a log that is out of reach must not keep all hosts from serving. Three seconds
-	// are two long polls and a pull from another host.
-	catchUpMost = 3 * time.Second
-	catchUpLook = 10 * time.Millisecond
+	// maxCatchUp is how long a host accepts no requests at most if nobody can tell it what it missed: an
+	// unreachable log must not keep all hosts from serving. Three seconds are two long polls and a
+	// pull from another host.
+	maxCatchUp          = 3 * time.Second
+	catchUpPollInterval = 10 * time.Millisecond
 )
 
 // wake is the return from a suspension.
@@ -27,47 +27,47 @@
 	caughtUp atomic.Bool
 }
 
-// resumed takes in that the host was suspended: what it believes is older than its clock says.
-// It asks anew for configuration, targets and hosts, with the requests in quarantine among
-// them, and is not ready before it has answers. Budgets need nothing: no clock decides them.
+// resumed handles a suspension of the host: its state is older than its clock says. It refreshes
+// configuration, targets and hosts, which include the requests in quarantine, and is not ready until
+// that succeeded. Budgets need no refresh, as they don't depend on clocks.
 func (n *Node) resumed(lost time.Duration) {
 	w := &wake{at: time.Now()}
-	n.woke.Store(w)
-	log.WithFields(log.Fields{"lost": lost.Round(time.Millisecond), "open_requests": n.handler.InFlight()}).Warn("host was suspended")
+	n.lastWake.Store(w)
+	log.WithFields(log.Fields{"lost": lost.Round(time.Millisecond), "open_requests": n.handler.InFlight()}).Warn("host was suspended; refreshing its state")
 	n.observer.Count("suspensions_total")
 	n.targets.CloseIdle()
 	n.fleet.Resumed()
-	for _, c := range n.followed() {
+	for _, c := range n.servingReplicas() {
 		c.Refresh()
 	}
 }
 
-// followed lists the copies that a host serves by.
-func (n *Node) followed() []*replica.Replica {
-	return []*replica.Replica{n.configCopy, n.targetsCopy, n.hostsCopy}
+// servingReplicas lists the replicas that a host needs to serve.
+func (n *Node) servingReplicas() []*replica.Replica {
+	return []*replica.Replica{n.configReplica, n.targetsReplica, n.hostsReplica}
 }
 
-// catchingUp says whether the host woke from a suspension and does not know yet what it missed.
+// catchingUp reports whether the host returned from a suspension and may have missed changes.
 func (n *Node) catchingUp() bool {
-	w := n.woke.Load()
+	w := n.lastWake.Load()
 	if w == nil || w.caughtUp.Load() {
 		return false
 	}
-	if time.Since(w.at) < catchUpMost && !n.askedSince(w.at) {
+	if time.Since(w.at) < maxCatchUp && !n.refreshedSince(w.at) {
 		return true
 	}
 	if !w.caughtUp.Swap(true) {
-		log.WithFields(log.Fields{"took": time.Since(w.at).Round(time.Millisecond), "answered": n.askedSince(w.at)}).Info("caught up after a suspension")
+		log.WithFields(log.Fields{"took": time.Since(w.at).Round(time.Millisecond), "answered": n.refreshedSince(w.at)}).Info("serving again after a suspension")
 	}
 	return false
 }
 
-// askedSince says whether the log or another host has told what changed until a moment.
-func (n *Node) askedSince(t time.Time) bool {
+// refreshedSince reports whether the log or another host has confirmed all changes until t.
+func (n *Node) refreshedSince(t time.Time) bool {
 	if n.fleet.PulledSince(t) {
 		return true
 	}
-	for _, c := range n.followed() {
+	for _, c := range n.servingReplicas() {
 		if !c.RefreshedSince(t) {
 			return false
 		}
@@ -75,22 +75,22 @@
 	return true
 }
 
-// admits says whether a new request may begin, or why not. One that comes while the host
-// catches up waits for that, which takes a few milliseconds where the log answers: it is served
-// by what holds now.
+// admits reports whether a new request may begin, or why not. A request that arrives while the host
+// catches up waits for that, which takes a few milliseconds if the log is reachable, and is then
+// served by the current state.
 func (n *Node) admits(ctx context.Context, arrived time.Time, streaming bool) forward.Kind {
-	n.watch.RequestArrived(arrived)
+	n.suspensions.RequestArrived(arrived)
 	for n.catchingUp() && ctx.Err() == nil && time.Since(arrived) < catchUpWait {
-		wait.For(ctx, catchUpLook)
+		wait.For(ctx, catchUpPollInterval)
 	}
 	switch {
 	case n.catchingUp():
 		return forward.CatchingUp
-	case !n.Takes(streaming):
+	case !n.Accepts(streaming):
 		return forward.Stopping
 	}
 	return forward.OK
 }
 
-// catchUpWait is how long a request waits for that; then it is told to use another host.
+// catchUpWait is how long a request waits for that; then it is refused, to be sent to another host.
 const catchUpWait = 100 * time.Millisecond
--- a/router/node/suspend_test.go
+++ b/router/node/suspend_test.go
@@ -13,7 +13,7 @@
 	"maststage.dev/standin/memlog"
 )
 
-// pausable are clocks of a host that a test suspends.
+// pausable is the clocks of a host that a test suspends.
 type pausable struct {
 	clocks    suspend.Clocks
 	suspended atomic.Int64
@@ -26,11 +26,11 @@
 	return p
 }
 
-// suspend lets time pass that the host's steady clock never saw.
+// suspend advances time without the host's monotonic clock.
 func (p *pausable) suspend(d time.Duration) { p.suspended.Add(int64(d)) }
 
-// A host that was suspended takes nothing by what it believed: configuration, keys and targets
-// have changed meanwhile. It asks anew first and then serves by what holds now.
+// A host that was suspended must not serve by its old state: configuration, keys and targets have changed
+// meanwhile. It refreshes them first and then serves by the current state.
 func TestSuspendedHostCatchesUpFirst(t *testing.T) {
 	f := newFleet(t)
 	clocks := newPausable()
@@ -40,20 +40,20 @@
 	f.ready(h)
 	f.eventually("it serves", func() bool { return f.call(h, "/r/x", "k1").body == "one" })
 
-	// What happens while it is suspended reaches nobody there.
+	// Changes during the suspension don't reach the host.
 	f.log.SetFault(h.name, memlog.Fault{Silent: true})
 	f.publish(config(2, plainRoute, `,"organisations":[{"name":"o","keys":["k2"]}]`))
 	f.unlist("t1")
 	f.backend("t2", backend.Behaviour{Body: "two"})
 	before := old.Arrivals()
 	clocks.suspend(10 * time.Second)
-	h.watch.Check()
+	h.suspensions.Check()
 	f.is.True(!h.Ready())
 	f.is.Equal(f.call(h, "/r/x", "k1").status, http.StatusServiceUnavailable) // not by the old key
 	f.log.SetFault(h.name, memlog.Fault{})
 	back := time.Now()
-	f.eventually("it serves by what holds now", func() bool { return f.call(h, "/r/x", "k2").body == "two" })
-	f.is.True(time.Since(back) < time.Second) // not only as the hosts' topic is due
+	f.eventually("it serves by the current state", func() bool { return f.call(h, "/r/x", "k2").body == "two" })
+	f.is.True(time.Since(back) < time.Second) // not only when the hosts' topic is polled
 	f.is.True(h.Ready())
 	f.is.Equal(f.call(h, "/r/x", "k1").status, http.StatusUnauthorized)
 	f.is.Equal(old.Arrivals(), before)
@@ -61,8 +61,8 @@
 	f.is.True(!elected) // others may have taken its place
 }
 
-// Without anybody who tells what it missed, a host that woke serves after a while by what it has.
-func TestSuspendedHostIsNotStuck(t *testing.T) {
+// If nobody can tell what it missed, a host that returns serves by its old state after a while.
+func TestSuspendedHostServesAgainWithoutTheLog(t *testing.T) {
 	f := newFleet(t)
 	clocks := newPausable()
 	f.publish(config(1, plainRoute, ""))
@@ -71,15 +71,15 @@
 	f.ready(h)
 	f.log.SetFault("", memlog.Fault{Silent: true})
 	clocks.suspend(10 * time.Second)
-	h.watch.Check()
+	h.suspensions.Check()
 	woke := time.Now()
 	f.is.True(!h.Ready())
 	f.eventually("it is ready", h.Ready)
-	f.is.True(time.Since(woke) >= catchUpMost)
+	f.is.True(time.Since(woke) >= maxCatchUp)
 	f.is.Equal(f.call(h, "/r/x", "").body, "one")
 }
 
-// Other hosts tell it what it missed while the log turns it away.
+// Other hosts tell it what it missed while it can't reach the log.
 func TestSuspendedHostCatchesUpFromOthers(t *testing.T) {
 	f := newFleet(t)
 	clocks := newPausable()
@@ -92,16 +92,16 @@
 	f.log.SetFault(h.name, memlog.Fault{Refuse: true})
 	f.publish(config(2, strings.Replace(plainRoute, "/r/", "/new/", 1), ""))
 	clocks.suspend(10 * time.Second)
-	h.watch.Check()
+	h.suspensions.Check()
 	woke := time.Now()
-	f.eventually("it serves by what holds now", func() bool { return f.call(h, "/new/x", "").status == http.StatusOK })
+	f.eventually("it serves by the current state", func() bool { return f.call(h, "/new/x", "").status == http.StatusOK })
 	f.is.True(h.Ready())
-	f.is.True(time.Since(woke) < catchUpMost)
+	f.is.True(time.Since(woke) < maxCatchUp)
 	_, told := f.log.Get(eventlog.Partition{Topic: topicConfig}, "config")
 	f.is.True(told)
 }
 
-// Callers went on waiting while the host was suspended: a target is handed what is left for them.
+// The caller's deadline counts the time of a suspension: a target gets just the time that is left.
 func TestDeadlineCountsASuspension(t *testing.T) {
 	f := newFleet(t)
 	clocks := newPausable()
@@ -110,7 +110,7 @@
 	h := f.startWith(f.settings("h1"), clocks.clocks)
 	f.ready(h)
 	f.eventually("it serves", func() bool { return f.call(h, "/r/x", "").body == "warm" })
-	for range 10 { // so many allow a repeat
+	for range 10 { // this many allow a retry
 		f.call(h, "/r/x", "")
 	}
 	slow := f.backend("t1", backend.Behaviour{Delay: 300 * time.Millisecond, BreakAfter: 1, Body: "broken"})
@@ -119,11 +119,11 @@
 	time.Sleep(100 * time.Millisecond)
 	answered := make(chan reply, 1)
 	go func() { answered <- f.call(h, "/r/x", "") }()
-	f.eventually("it is under way", func() bool { return slow.Arrivals() == 1 })
+	f.eventually("it is in flight", func() bool { return slow.Arrivals() == 1 })
 	good := f.backend("t2", backend.Behaviour{Body: "two"})
 	f.eventually("another target", func() bool { return h.targets.TotalReady() == 2 })
 	clocks.suspend(time.Second) // of the three that the route allows
-	h.watch.Check()
+	h.suspensions.Check()
 	f.is.Equal((<-answered).body, "two")
 	left, err := time.ParseDuration(good.Runs()[0].Header.Get("X-Deadline") + "ms")
 	f.is.NoErr(err)
