--- a/router/node/config.go
+++ b/router/node/config.go
@@ -16,14 +16,14 @@
 	"maststage.dev/router/target"
 )
 
-// configChange is a configuration that was read and is not in force yet.
+// configChange is a configuration that was read and not applied yet.
 type configChange struct {
 	value []byte
 	gap   bool // earlier versions may have been missed
 }
 
-// configQueue holds the configurations that were read and are not in force yet, oldest first. Only
-// the newest is put in force, but budgets must see the limits of each: if a limit was raised and set
+// configQueue holds the configurations that were read and not applied yet, oldest first. Only
+// the newest is applied, but budgets must see the limits of each: if a limit was raised and set
 // back between two versions, other hosts may have taken tokens under the raised limit.
 type configQueue struct {
 	mu      sync.Mutex
@@ -131,11 +131,11 @@
 type decodedConfig struct {
 	config  *routing.Config
 	bytes   int
-	skipped int  // configurations right before it that were never in force
+	skipped int  // configurations right before it that were never applied
 	gap     bool // others before it may have been missed
 }
 
-// applyPending passes each configuration to the budgets, in order, and puts the newest in force. An
+// applyPending passes each configuration to the budgets, in order, and applies the newest. An
 // invalid one counts as a gap before the next: other hosts may have read it.
 func (n *Node) applyPending(changes []configChange) {
 	var newest decodedConfig
@@ -143,7 +143,7 @@
 	for i, change := range changes {
 		config, err := n.env.DecodeConfig(change.value)
 		if err != nil {
-			log.WithError(err).Error("invalid configuration ignored; the present one stays in force")
+			log.WithError(err).Error("invalid configuration ignored; the present one stays active")
 			invalid = true
 			continue
 		}
@@ -159,7 +159,7 @@
 	}
 }
 
-// applyConfig puts a configuration in force unless it is older than the present one.
+// applyConfig applies a configuration unless it is older than the active one.
 func (n *Node) applyConfig(decoded decodedConfig) {
 	config, previous := decoded.config, n.handler.Config()
 	if previous != nil && config.Version <= previous.Version {
@@ -176,7 +176,7 @@
 	if previous != nil {
 		fields["before"] = previous.Version
 	}
-	log.WithFields(fields).Info("configuration in force")
+	log.WithFields(fields).Info("configuration applied")
 }
 
 func budgets(c *routing.Config) []prepaid.Budget {
--- a/router/node/config_test.go
+++ b/router/node/config_test.go
@@ -83,7 +83,7 @@
 }
 
 // The log returns three versions at once, as after an outage: the second doubles a budget and the third
-// sets it back. Only the third is put in force, but the budget must know of both, or this host and all
+// sets it back. Only the third is applied, but the budget must know of both, or this host and all
 // others that read the same would have to query the account or wait for it.
 func TestLimitsOfSkippedVersionsAreSeen(t *testing.T) {
 	is := is.New(t)
@@ -98,7 +98,7 @@
 	f.publish(limitConfig(2, 2000))
 	f.publish(limitConfig(3, 1000))
 	f.log.SetFault("a", memlog.Fault{})
-	f.eventually("the newest version is in force", func() bool { return a.handler.Config().Version == 3 })
+	f.eventually("the newest version is applied", func() bool { return a.handler.Config().Version == 3 })
 	history := a.treasury.History()
 	is.Equal(history.Since, int64(1)) // nothing was missed
 	is.Equal(history.Lowered["o"], int64(3))
--- a/router/node/limits.go
+++ b/router/node/limits.go
@@ -40,10 +40,10 @@
 	}
 }
 
-func (l *limitNotices) add(n limit.Notice) {
+func (l *limitNotices) add(notice limit.Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pending = append(l.pending, n)
+	l.pending = append(l.pending, notice)
 	select {
 	case l.arrived <- struct{}{}:
 	default:
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -163,25 +163,25 @@
 func drainWindow(d time.Duration) time.Duration { return d / 2 }
 
 func (n *Node) newReplicas() {
-	poll, slack := settings.Milliseconds(n.cfg.Log.LongPollMs), settings.Milliseconds(n.cfg.Log.TimeoutMs)
-	newReplica := func(topic string, pace time.Duration, onChange func([]replica.Change)) *replica.Replica {
+	longPoll, readTimeout := settings.Milliseconds(n.cfg.Log.LongPollMs), settings.Milliseconds(n.cfg.Log.TimeoutMs)
+	newReplica := func(topic string, minInterval time.Duration, onChange func([]replica.Change)) *replica.Replica {
 		return replica.New(replica.Options{
-			Log: n.env.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
+			Log: n.env.Log, Partition: eventlog.Partition{Topic: topic}, LongPoll: longPoll, ReadTimeout: readTimeout, MinInterval: minInterval,
 			OnChange:       onChange,
 			OnConnectivity: func(err error) { n.logConnectivity(topic, err) },
 			Hosts:          n.hostCount,
 		})
 	}
-	pace := settings.Milliseconds(n.cfg.Log.PaceMs)
+	minInterval := settings.Milliseconds(n.cfg.Log.PaceMs)
 	n.configReplica = newReplica(n.env.ConfigTopic, 0, n.configChanged)
 	n.targetsReplica = replica.New(replica.Options{
-		Log: n.env.Log, Partition: eventlog.Partition{Topic: n.env.TargetsTopic}, LongPoll: poll, ReadTimeout: slack, MinInterval: pace,
+		Log: n.env.Log, Partition: eventlog.Partition{Topic: n.env.TargetsTopic}, LongPoll: longPoll, ReadTimeout: readTimeout, MinInterval: minInterval,
 		OnChange:       n.targetsChanged,
 		OnConnectivity: func(err error) { n.logConnectivity(n.env.TargetsTopic, err) },
 		Relay: func(ctx context.Context, from int64) (replica.Update, bool) {
 			return n.fleet.Relay(ctx, n.env.TargetsTopic, from)
 		},
-		DedupKey: n.targetMeaning,
+		DedupKey: n.targetDedupKey,
 		Hosts:    n.hostCount,
 	})
 	n.hostsReplica = newReplica(n.env.HostsTopic, hostsPollInterval, n.hostsChanged)
@@ -193,9 +193,9 @@
 // noTarget is the deduplication key of an entry that names no usable target.
 type noTarget struct{}
 
-// targetMeaning is the part of a list entry that matters: most records are heartbeats, which change
+// targetDedupKey is the part of a list entry that matters: most records are heartbeats, which change
 // nothing.
-func (n *Node) targetMeaning(rec eventlog.Record) any {
+func (n *Node) targetDedupKey(rec eventlog.Record) any {
 	if len(rec.Value) == 0 {
 		return nil
 	}
--- a/router/node/reload.go
+++ b/router/node/reload.go
@@ -15,7 +15,7 @@
 func (n *Node) Reload(path string) {
 	fresh, err := settings.Load(path)
 	if err != nil {
-		log.WithError(err).Error("settings not reloaded; the present ones stay in force")
+		log.WithError(err).Error("settings not reloaded; the present ones stay active")
 		return
 	}
 	n.reloadMu.Lock()
--- a/router/node/stop.go
+++ b/router/node/stop.go
@@ -12,7 +12,7 @@
 	"maststage.dev/router/settings"
 )
 
-// callerServer makes the server for callers. Its limits are those of the configuration in force when a
+// callerServer makes the server for callers. Its limits are those of the configuration that is active when a
 // connection is used, and defaults until there is one.
 func (n *Node) callerServer() *graceful.Server {
 	return graceful.New(&http.Server{
@@ -57,14 +57,14 @@
 // Accepts reports whether a new request may begin at this host: a host that is stopping accepts none that
 // it might not finish.
 func (n *Node) Accepts(streaming bool) bool {
-	began := n.stopStarted.Load()
-	if began == nil {
+	started := n.stopStarted.Load()
+	if started == nil {
 		return true
 	}
 	if streaming {
-		return time.Since(*began) < n.scaleToGrace(streamTime)
+		return time.Since(*started) < n.scaleToGrace(streamTime)
 	}
-	return time.Since(*began) < n.scaleToGrace(responseTime)
+	return time.Since(*started) < n.scaleToGrace(responseTime)
 }
 
 // Stop begins a graceful shutdown: the host is no longer ready, finishes its requests and exits within
--- a/router/node/suspend.go
+++ b/router/node/suspend.go
@@ -14,7 +14,7 @@
 
 // Timing of the return from a suspension.
 const (
-	// maxCatchUp is how long a host accepts no requests at most if nobody can tell it what it missed: an
+	// maxCatchUp is how long a host accepts no requests at most if nobody reports what it missed: an
 	// unreachable log must not keep all hosts from serving. Three seconds are two long polls and a
 	// pull from another host.
 	maxCatchUp          = 3 * time.Second
--- a/router/node/suspend_test.go
+++ b/router/node/suspend_test.go
@@ -61,7 +61,7 @@
 	f.is.True(!elected) // others may have taken its place
 }
 
-// If nobody can tell what it missed, a host that returns serves by its old state after a while.
+// If nobody reports what it missed, a host that returns serves by its old state after a while.
 func TestSuspendedHostServesAgainWithoutTheLog(t *testing.T) {
 	f := newFleet(t)
 	clocks := newPausable()
@@ -79,7 +79,7 @@
 	f.is.Equal(f.call(h, "/r/x", "").body, "one")
 }
 
-// Other hosts tell it what it missed while it can't reach the log.
+// Other hosts report what it missed while it can't reach the log.
 func TestSuspendedHostCatchesUpFromOthers(t *testing.T) {
 	f := newFleet(t)
 	clocks := newPausable()
--- a/router/quarantine/fleet_test.go
+++ b/router/quarantine/fleet_test.go
@@ -303,9 +303,9 @@
 // from the log or from others before they count as connected.
 func TestFleetStopsCrashingRequestDespiteFaults(t *testing.T) {
 	for _, c := range []struct {
-		name              string
+		name                              string
 		disconnect, pause, logUnavailable bool
-		joinsLater        bool
+		joinsLater                        bool
 	}{
 		{name: "a third disconnected", disconnect: true}, {name: "a third paused", disconnect: true, pause: true}, {name: "log unavailable", logUnavailable: true},
 		{name: "hosts start later", joinsLater: true}, {name: "a third disconnected, and hosts start later", disconnect: true, joinsLater: true},
--- a/router/rollout/evidence.go
+++ b/router/rollout/evidence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome is the result of a request at a target, as far as it tells about the target's version.
+// Outcome is the result of a request at a target, as far as it says something about the target's version.
 type Outcome struct {
 	Route         string
 	Domain        string // failure domain of the target
@@ -14,7 +14,7 @@
 	Failed        bool          // no response, an incomplete one, or an error of the target itself
 	FirstByte     time.Duration // time to the start of the response; 0: there was none
 	EventInterval time.Duration // between two events of a stream; 0: unknown
-	Inconclusive  bool          // it tells nothing: the caller left, or the target refused because it was full
+	Inconclusive  bool          // no evidence: the caller left, or the target refused because it was full
 	NotSent       bool          // the target can't have received the request
 }
 
--- a/router/rollout/rule.go
+++ b/router/rollout/rule.go
@@ -26,7 +26,7 @@
 	return eligibility{pending: o.Version, barred: without(r.barredAfter(), o.Version)}
 }
 
-// eligibility is what the record says by itself; ordered tells whether its order is in force.
+// eligibility is what the record says by itself; ordered says whether its order still stands.
 func (r *Record) eligibility(ordered bool) eligibility {
 	s := eligibility{barred: slices.Clone(r.Barred)}
 	switch {
@@ -45,7 +45,7 @@
 	// trialTargetFactor is the fraction of targets in the trial over the fraction of requests in it.
 	// It is about 1, so that trial targets work under the same load as the old ones.
 	trialTargetFactor = 1.25
-	minTrialTargets   = 4 // targets: a fault of one target can then be told from a fault of the version
+	minTrialTargets   = 4 // targets: enough to distinguish a fault of one target from a fault of the version
 )
 
 // TrialTargets is how many targets take the given share of the requests that old targets had.
