--- a/router/rollout/coordinator.go
+++ b/router/rollout/coordinator.go
@@ -117,12 +117,12 @@
 	if took < rateInterval.Seconds() {
 		return
 	}
-	perSecond, notRetryable := float64(total.Sent-r.sent)/took, float64(total.NotRetryable-r.notRetryable)/took
+	perSecond, notRetryablePerSecond := float64(total.Sent-r.sent)/took, float64(total.NotRetryable-r.notRetryable)/took
 	if !r.wasMeasured {
-		r.perSecond, r.notRetryablePerSecond, r.wasMeasured = perSecond, notRetryable, true
+		r.perSecond, r.notRetryablePerSecond, r.wasMeasured = perSecond, notRetryablePerSecond, true
 	}
 	r.perSecond += rateSmoothing * (perSecond - r.perSecond)
-	r.notRetryablePerSecond += rateSmoothing * (notRetryable - r.notRetryablePerSecond)
+	r.notRetryablePerSecond += rateSmoothing * (notRetryablePerSecond - r.notRetryablePerSecond)
 	r.at, r.sent, r.notRetryable = now, total.Sent, total.NotRetryable
 }
 
