--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -22,18 +22,18 @@
 
 // Options configure an Archive.
 type Options struct {
-	Log      eventlog.Log
-	Topic    string
-	Copies   map[string]*replica.Replica // by topic
-	Every    time.Duration               // between two copies of a topic
-	Patience time.Duration               // a start waits so long for the topics themselves
-	Timeout  time.Duration               // of a call, to its first bytes and between them
-	MaxBytes int                         // of a copy
+	Log            eventlog.Log
+	Topic          string
+	Replicas       map[string]*replica.Replica // by topic
+	WriteInterval  time.Duration               // between two copies of a topic
+	FallbackDelay  time.Duration               // a start waits so long for the topics themselves
+	CallTimeout    time.Duration               // of a call, to its first bytes and between them
+	MaxRecordBytes int                         // of a copy
 	// Partitions is how many partitions of the topic hold the same copies, since the
 	// log may be out of reach by partitions.
 	Partitions int
-	// Writer says whether this host is the one that writes copies.
-	Writer func() bool
+	// IsWriter says whether this host is the one that writes copies.
+	IsWriter func() bool
 }
 
 // Archive writes copies, and reads them at a start.
@@ -58,18 +58,18 @@
 // Run reads the copies if the topics can't be read at the start, and then writes
 // copies, until ctx ends.
 func (a *Archive) Run(ctx context.Context) {
-	wait.For(ctx, a.opts.Patience)
-	for pause := a.opts.Patience; ctx.Err() == nil && len(a.missing()) > 0; pause = min(2*pause, mostPause) {
+	wait.For(ctx, a.opts.FallbackDelay)
+	for pause := a.opts.FallbackDelay; ctx.Err() == nil && len(a.missing()) > 0; pause = min(2*pause, mostPause) {
 		if err := a.load(ctx); err != nil {
 			log.WithError(err).Debug("copies of topics can't be read")
 		}
 		wait.For(ctx, wait.Jitter(pause))
 	}
 	for ctx.Err() == nil {
-		if a.opts.Writer() {
+		if a.opts.IsWriter() {
 			a.writeAll(ctx)
 		}
-		wait.For(ctx, a.opts.Every)
+		wait.For(ctx, a.opts.WriteInterval)
 	}
 }
 
@@ -80,7 +80,7 @@
 // missing lists the topics that this host has nothing of.
 func (a *Archive) missing() []string {
 	var topics []string
-	for topic, c := range a.opts.Copies {
+	for topic, c := range a.opts.Replicas {
 		if !c.Loaded() {
 			topics = append(topics, topic)
 		}
@@ -111,7 +111,7 @@
 }
 
 func (a *Archive) loadFrom(ctx context.Context, p eventlog.Partition) error {
-	c, cancel := patience.New(ctx, patience.Limits{First: a.opts.Timeout, Silence: a.opts.Timeout, Most: longestLoad})
+	c, cancel := patience.New(ctx, patience.Limits{First: a.opts.CallTimeout, Silence: a.opts.CallTimeout, Most: longestLoad})
 	defer cancel()
 	page, err := a.opts.Log.Newest(c, p, "")
 	if err != nil {
@@ -139,13 +139,13 @@
 	if err != nil {
 		return fmt.Errorf("copy of %s: %w", topic, err)
 	}
-	a.opts.Copies[topic].MergeNewest(records, s.End)
+	a.opts.Replicas[topic].MergeNewest(records, s.End)
 	log.WithFields(log.Fields{"topic": topic, "records": len(records), "end": s.End}).Warn("started from a copy of a topic")
 	return nil
 }
 
 func (a *Archive) writeAll(ctx context.Context) {
-	for topic, c := range a.opts.Copies {
+	for topic, c := range a.opts.Replicas {
 		if !c.Loaded() || c.End() == a.written[topic] {
 			continue
 		}
@@ -161,7 +161,7 @@
 
 // write appends a copy of a topic, without its deleted keys.
 func (a *Archive) write(ctx context.Context, topic string, c *replica.Replica) error {
-	part, _ := c.Since(0)
+	part, _ := c.UpdateSince(0)
 	var alive []eventlog.Record
 	for _, r := range part.Records {
 		if len(r.Value) > 0 {
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	if len(value) > a.opts.MaxBytes {
+	if len(value) > a.opts.MaxRecordBytes {
 		return fmt.Errorf("%d bytes are more than a record may have", len(value))
 	}
 	for i := range a.opts.Partitions {
--- a/router/archive/archive_test.go
+++ b/router/archive/archive_test.go
@@ -30,11 +30,11 @@
 
 // startLimited is start with another size of the largest record that the log takes.
 func startLimited(t *testing.T, l *memlog.Log, name string, writer bool, maxBytes int) (c *replica.Replica, stop func()) {
-	c = replica.New(replica.Options{Log: l.Host(name), Partition: listed, LongPoll: 50 * time.Millisecond, Slack: 50 * time.Millisecond})
+	c = replica.New(replica.Options{Log: l.Host(name), Partition: listed, LongPoll: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond})
 	a := New(Options{
-		Log: l.Host(name), Topic: "copies", Copies: map[string]*replica.Replica{"list": c},
-		Every: 20 * time.Millisecond, Patience: 20 * time.Millisecond, Timeout: time.Second, MaxBytes: maxBytes, Partitions: 3,
-		Writer: func() bool { return writer },
+		Log: l.Host(name), Topic: "copies", Replicas: map[string]*replica.Replica{"list": c},
+		WriteInterval: 20 * time.Millisecond, FallbackDelay: 20 * time.Millisecond, CallTimeout: time.Second, MaxRecordBytes: maxBytes, Partitions: 3,
+		IsWriter: func() bool { return writer },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 2)
@@ -71,7 +71,7 @@
 	c, stop := start(t, l, "h2", false)
 	defer stop()
 	until.True(t, "the copy is taken", c.Loaded)
-	part, _ := c.Since(0)
+	part, _ := c.UpdateSince(0)
 	is.Equal(len(part.Records), 1)
 	is.Equal(part.Records[0].Key, "a")
 	is.Equal(part.End, int64(3))
@@ -129,7 +129,7 @@
 	c, stop := startLimited(t, l, "h2", false, 1<<18)
 	defer stop()
 	until.True(t, "the copy is taken", c.Loaded)
-	part, _ := c.Since(0)
+	part, _ := c.UpdateSince(0)
 	is.Equal(string(part.Records[0].Value), string(want))
 	is.Equal(part.End, int64(1))
 }
--- a/router/fleet/alllost_test.go
+++ b/router/fleet/alllost_test.go
@@ -15,7 +15,7 @@
 
 // beat is the announcement of a host of some incarnation, its n-th.
 func beat(i int, incarnation string, n int64) Host {
-	return Host{Name: fmt.Sprintf("h%d", i), Incarnation: incarnation, Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "z0", Beat: n}
+	return Host{Name: fmt.Sprintf("h%d", i), Incarnation: incarnation, Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "z0", Sequence: n}
 }
 
 // heard tells a fleet of announcements, of which the last has an offset in the topic.
@@ -29,7 +29,7 @@
 		offset := end - int64(len(hosts)-1-i)
 		changes = append(changes, replica.Change{Record: eventlog.Record{Key: h.Name, Value: value, Offset: offset}})
 	}
-	f.Changed(changes)
+	f.HandleChanges(changes)
 }
 
 // A host that starts anew tells the loss of all hosts from its own loss, from the begin of a
@@ -59,11 +59,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := New(Options{Self: beat(0, "new", 0), Timeout: time.Second, Announce: 8 * time.Second})
+				f := New(Options{Self: beat(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
 				heard(f, c.end, c.found...)
 				time.Sleep(time.Second)
 				heard(f, c.end+10, c.then...)
-				is.Equal(f.AllLost(), c.lost)
+				is.Equal(f.AllHostsLost(), c.lost)
 			})
 		})
 	}
@@ -74,12 +74,12 @@
 	for end, lost := range map[int64]bool{70: true, 3: false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := New(Options{Self: beat(0, "new", 0), Timeout: time.Second, Announce: 8 * time.Second})
+			f := New(Options{Self: beat(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
 			heard(f, end, beat(0, "old", 9), beat(1, "old", 9), beat(2, "old", 9))
 			for n := range int64(10) {
 				time.Sleep(4 * time.Second) // no host announces itself more often
 				heard(f, end+3*(n+1), beat(1, "new", n+1), beat(2, "new", n+1))
-				is.Equal(f.AllLost(), lost)
+				is.Equal(f.AllHostsLost(), lost)
 			}
 		})
 	}
--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -51,15 +51,15 @@
 	Whole  bool   `json:"whole,omitempty"` // these are all records that there are
 }
 
-func newTopicPart(changed replica.Part) (topicPart, error) {
+func newTopicPart(changed replica.Update) (topicPart, error) {
 	packed, err := recordpack.Pack(changed.Records)
-	return topicPart{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Whole: changed.Whole}, err
+	return topicPart{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Whole: changed.Full}, err
 }
 
 // part turns a part of an answer into that of a copy.
-func (p topicPart) part() (replica.Part, error) {
+func (p topicPart) part() (replica.Update, error) {
 	records, err := recordpack.Unpack(p.Packed)
-	return replica.Part{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Whole: p.Whole}, err
+	return replica.Update{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Full: p.Whole}, err
 }
 
 type lendRequest struct {
@@ -190,9 +190,9 @@
 	}
 	answer := pullResponse{Topics: map[string]topicPart{}}
 	if ask.EndsOnly && f.opts.Quarantine != nil {
-		answer.Quarantine = f.opts.Quarantine.Unkept()
+		answer.Quarantine = f.opts.Quarantine.Unpersisted()
 	}
-	for topic, c := range f.opts.Copies {
+	for topic, c := range f.opts.Replicas {
 		from, wanted := ask.From[topic]
 		if !wanted || c.End() < from {
 			continue
@@ -201,7 +201,7 @@
 			answer.Topics[topic] = topicPart{End: c.End()}
 			continue
 		}
-		part, err := newTopicPart(c.PartFrom(from))
+		part, err := newTopicPart(c.CatchUpFrom(from))
 		if err != nil {
 			log.WithField("topic", topic).WithError(err).Error("records can't be packed for another host")
 			continue
@@ -216,8 +216,8 @@
 	if !read(w, r, &ask) {
 		return
 	}
-	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, Partly: ask.Partly})
-	write(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Answered, Free: loan.Free, Kept: loan.Kept})
+	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, AllowPartial: ask.Partly})
+	write(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Authoritative, Free: loan.Free, Kept: loan.Shed})
 }
 
 func (f *Fleet) serveRecall(w http.ResponseWriter, r *http.Request) {
@@ -239,7 +239,7 @@
 	}
 	self := f.opts.Self.Incarnation
 	// An earlier incarnation may have taken and spent the same gift.
-	took := ask.Incarnation == self && f.opts.Credit(prepaid.Gift{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens})
+	took := ask.Incarnation == self && f.opts.Credit(prepaid.Transfer{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens})
 	log.WithFields(log.Fields{"gift": ask.ID, "organisation": ask.Organisation, "tokens": ask.Tokens, "took": took}).Info("tokens given by another host")
 	write(w, giveResponse{Took: took, Incarnation: self})
 }
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -27,28 +27,28 @@
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"` // for other hosts, IP:port
 	Domain      string `json:"domain"`  // failure domain
-	Beat        int64  `json:"beat"`    // counts the announcements of an incarnation
+	Sequence    int64  `json:"beat"`    // counts the announcements of an incarnation
 }
 
 // Options configure a Fleet.
 type Options struct {
-	Self     Host
-	Log      eventlog.Log
-	Topic    string
-	Seeds    []string
-	Announce time.Duration // between announcements
-	Pull     time.Duration // between looks at whether to pull
-	Timeout  time.Duration // of a call to another host
-	// Copies are the copies of the log's topics that hosts pull from each other,
+	Self             Host
+	Log              eventlog.Log
+	Topic            string
+	Seeds            []string
+	AnnounceInterval time.Duration // between announcements
+	PullInterval     time.Duration // between looks at whether to pull
+	CallTimeout      time.Duration // of a call to another host
+	// Replicas are the copies of the log's topics that hosts pull from each other,
 	// by topic.
-	Copies map[string]*replica.Replica
-	Lend   func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan
+	Replicas map[string]*replica.Replica
+	Lend     func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan
 	// Recall takes back a loan whose borrower got no answer.
 	Recall func(id string) (tokens int64)
 	// Credit takes in tokens that another host gives, once for each gift.
-	Credit func(gift prepaid.Gift) bool
+	Credit func(gift prepaid.Transfer) bool
 	// History is what this host saw of the limits of budgets.
-	History func() prepaid.History
+	History func() prepaid.LimitHistory
 	// Quarantine takes part in finding requests that crash targets. nil: this host does not.
 	Quarantine Quarantine
 	// Rollouts conducts rollouts for other hosts. nil: this host does not.
@@ -107,7 +107,7 @@
 
 // New makes a fleet of this host alone; Run fills it.
 func New(opts Options) *Fleet {
-	calls := newClient(opts.Timeout)
+	calls := newClient(opts.CallTimeout)
 	return &Fleet{
 		opts: opts, calls: calls, recalls: newRecaller(calls, opts.Self.Name+"/"+opts.Self.Incarnation),
 		started: time.Now(), announced: time.Now(), changed: time.Now(), born: time.Now(), seeds: opts.Seeds, hosts: map[string]known{}, silent: map[string]time.Time{},
@@ -115,8 +115,8 @@
 	}
 }
 
-// Changed takes in announcements from the log's copy.
-func (f *Fleet) Changed(changes []replica.Change) {
+// HandleChanges takes in announcements from the log's copy.
+func (f *Fleet) HandleChanges(changes []replica.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.othersAt, f.changed = time.Time{}, time.Now()
@@ -147,7 +147,7 @@
 		if !again {
 			log.WithFields(log.Fields{"peer": name, "incarnation": h.Incarnation, "address": h.Address}).Info("host joined")
 		}
-		f.hosts[name] = known{host: h, seen: time.Now(), young: again && old.young || !again && h.Beat <= f.mostBeats(time.Now()), told: again}
+		f.hosts[name] = known{host: h, seen: time.Now(), young: again && old.young || !again && h.Sequence <= f.mostBeats(time.Now()), told: again}
 	}
 }
 
@@ -182,7 +182,7 @@
 func (f *Fleet) announce(ctx context.Context) {
 	self := f.opts.Self
 	for ctx.Err() == nil {
-		self.Beat++
+		self.Sequence++
 		pause := f.announcePause()
 		if err := f.write(ctx, self); err != nil {
 			pause = min(pause, announceRetry)
@@ -199,7 +199,7 @@
 
 // announcePause is the time between two announcements. Each is read by all hosts.
 func (f *Fleet) announcePause() time.Duration {
-	return max(f.opts.Announce, min(time.Duration(f.Size())*announceForHost, mostAnnounce))
+	return max(f.opts.AnnounceInterval, min(time.Duration(f.Size())*announceForHost, mostAnnounce))
 }
 
 // untilAnnounce waits for the next announcement.
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	c, cancel := context.WithTimeout(ctx, f.opts.Timeout)
+	c, cancel := context.WithTimeout(ctx, f.opts.CallTimeout)
 	defer cancel()
 	began := time.Now()
 	if _, err = f.opts.Log.Append(c, f.partition(), []eventlog.Record{{Key: self.Name, Value: value}}); err != nil {
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -30,7 +30,7 @@
 }
 
 func newFleet(self Host) *Fleet {
-	return New(Options{Self: self, Timeout: time.Second})
+	return New(Options{Self: self, CallTimeout: time.Second})
 }
 
 // announced tells a fleet of hosts.
@@ -43,7 +43,7 @@
 		}
 		changes = append(changes, replica.Change{Record: eventlog.Record{Key: h.Name, Value: value}})
 	}
-	f.Changed(changes)
+	f.HandleChanges(changes)
 }
 
 // hosts makes n hosts in some failure domains.
@@ -61,20 +61,20 @@
 	is.Equal(f.Size(), 1)
 	announced(f, hosts(6, 3)...)
 	is.Equal(f.Size(), 6) // itself once
-	f.Changed([]replica.Change{{Record: eventlog.Record{Key: "h1"}}})
+	f.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: "h1"}}})
 	is.Equal(f.Size(), 5)
-	f.Changed([]replica.Change{{Record: eventlog.Record{Key: "h2", Value: []byte("not JSON")}}})
+	f.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: "h2", Value: []byte("not JSON")}}})
 	is.Equal(f.Size(), 5)
 }
 
 func TestSmallFleetHasNoKeepers(t *testing.T) {
 	is := is.New(t)
-	all := hosts(keeper.Group, 3)
+	all := hosts(keeper.SmallFleet, 3)
 	for _, self := range all {
 		f := newFleet(self)
 		announced(f, all...)
 		count, own := f.Keepers("org")
-		is.Equal(count, keeper.Group)
+		is.Equal(count, keeper.SmallFleet)
 		is.True(own)
 		is.Equal(f.lenders("org"), nil)
 	}
@@ -91,7 +91,7 @@
 		for _, self := range all {
 			f := newFleet(self)
 			announced(f, all...)
-			f.SetParts(map[string]float64{"org": part})
+			f.SetBudgetShares(map[string]float64{"org": part})
 			count, own := f.Keepers("org")
 			is.Equal(count, wanted)
 			if own {
@@ -123,7 +123,7 @@
 func TestReadersOfALargeFleet(t *testing.T) {
 	is := is.New(t)
 	small := newFleet(Host{Name: "h0", Domain: "z0"})
-	announced(small, hosts(keeper.Group, 3)...)
+	announced(small, hosts(keeper.SmallFleet, 3)...)
 	is.Equal(len(small.readers("list")), 0)
 	all := hosts(87, 3)
 	readers := map[string]bool{}
@@ -147,7 +147,7 @@
 func TestAnnouncementsOfALargeFleet(t *testing.T) {
 	is := is.New(t)
 	pause := func(n int) time.Duration {
-		f := New(Options{Self: Host{Name: "h0", Domain: "z0"}, Announce: 8 * time.Second})
+		f := New(Options{Self: Host{Name: "h0", Domain: "z0"}, AnnounceInterval: 8 * time.Second})
 		announced(f, hosts(n, 5)...)
 		return f.announcePause()
 	}
@@ -161,8 +161,8 @@
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(eventlog.Partition{Topic: "list"}, "k", []byte("1"))
-	copied := replica.New(replica.Options{Log: l.Host("reader"), Partition: eventlog.Partition{Topic: "list"}, Slack: time.Second})
-	reader := New(Options{Copies: map[string]*replica.Replica{"list": copied}})
+	copied := replica.New(replica.Options{Log: l.Host("reader"), Partition: eventlog.Partition{Topic: "list"}, ReadTimeout: time.Second})
+	reader := New(Options{Replicas: map[string]*replica.Replica{"list": copied}})
 	server := httptest.NewServer(reader.Handler())
 	t.Cleanup(server.Close)
 
@@ -208,9 +208,9 @@
 	f := New(Options{
 		Lend: func(_ context.Context, ask prepaid.LoanRequest) prepaid.Loan {
 			p.asked.Add(1)
-			return prepaid.Loan{Tokens: min(ask.Tokens, lends), Answered: keeper}
+			return prepaid.Loan{Tokens: min(ask.Tokens, lends), Authoritative: keeper}
 		},
-		Credit: func(gift prepaid.Gift) bool {
+		Credit: func(gift prepaid.Transfer) bool {
 			if takes {
 				p.given.Add(gift.Tokens)
 			}
@@ -232,7 +232,7 @@
 		f.seeds = append(f.seeds, p.address())
 	}
 	loan := f.Borrow(context.Background(), "org", 50, 0)
-	is.Equal(loan, prepaid.Loan{Tokens: 50, Answered: true})
+	is.Equal(loan, prepaid.Loan{Tokens: 50, Authoritative: true})
 	asked := int64(0)
 	for _, p := range peers {
 		asked += p.asked.Load()
@@ -259,7 +259,7 @@
 		Lend: func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan {
 			lent.Store(ask.ID)
 			<-ctx.Done() // the borrower gave up
-			return prepaid.Loan{Tokens: ask.Tokens, Answered: true}
+			return prepaid.Loan{Tokens: ask.Tokens, Authoritative: true}
 		},
 		Recall: func(id string) int64 {
 			recalled <- id
@@ -293,7 +293,7 @@
 	taken := map[string]int64{}
 	taker := New(Options{
 		Self: Host{Incarnation: "7"},
-		Credit: func(gift prepaid.Gift) bool {
+		Credit: func(gift prepaid.Transfer) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			taken[gift.ID] = gift.Tokens
@@ -326,7 +326,7 @@
 	taker := func(incarnation string) http.Handler {
 		return New(Options{
 			Self:   Host{Incarnation: incarnation},
-			Credit: func(gift prepaid.Gift) bool { taken.Add(gift.Tokens); return true },
+			Credit: func(gift prepaid.Transfer) bool { taken.Add(gift.Tokens); return true },
 		}).Handler()
 	}
 	before, after := taker("1"), taker("2")
@@ -373,7 +373,7 @@
 	l := memlog.New()
 	f := New(Options{
 		Self: Host{Name: "self", Incarnation: "1", Address: "10.0.0.1:1", Domain: "z"}, Log: l.Host("self"), Topic: "hosts",
-		Announce: 20 * time.Millisecond, Pull: time.Hour, Timeout: time.Second,
+		AnnounceInterval: 20 * time.Millisecond, PullInterval: time.Hour, CallTimeout: time.Second,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -386,7 +386,7 @@
 		rec, _ := l.Get(at, "self")
 		var h Host
 		_ = json.Unmarshal(rec.Value, &h)
-		return h.Beat
+		return h.Sequence
 	}
 	until.True(t, "three announcements", func() bool { return beat() >= 3 })
 	l.SetFault("self", memlog.Fault{Refuse: true})
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -9,8 +9,8 @@
 	"maststage.dev/router/keeper"
 )
 
-// SetParts takes over which part of all prepaid tokens each organisation has.
-func (f *Fleet) SetParts(parts map[string]float64) {
+// SetBudgetShares takes over which part of all prepaid tokens each organisation has.
+func (f *Fleet) SetBudgetShares(parts map[string]float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.parts = parts
@@ -23,11 +23,11 @@
 	defer f.mu.Unlock()
 	others := f.others()
 	count = keeper.Count(len(others)+1, f.parts[organisation])
-	return count, keeper.Is(organisation, f.opts.Self.Name, others, count)
+	return count, keeper.IsKeeper(organisation, f.opts.Self.Name, others, count)
 }
 
-// First says whether this host is the one of all that has a duty.
-func (f *Fleet) First(duty string) bool {
+// IsPrimary says whether this host is the one of all that has a duty.
+func (f *Fleet) IsPrimary(duty string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := rendezvous.Score(duty, f.opts.Self.Name)
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	others := f.others()
 	hosts := len(others) + 1
-	if hosts <= keeper.Group {
+	if hosts <= keeper.SmallFleet {
 		return nil
 	}
 	names := keeper.Lenders(organisation, f.opts.Self.Name, others, keeper.Count(hosts, f.parts[organisation]))
--- a/router/fleet/loss.go
+++ b/router/fleet/loss.go
@@ -22,9 +22,9 @@
 	lostFor = 200 * time.Millisecond
 )
 
-// AllLost says whether all hosts were lost shortly before this one started, as far as their
+// AllHostsLost says whether all hosts were lost shortly before this one started, as far as their
 // announcements tell.
-func (f *Fleet) AllLost() bool {
+func (f *Fleet) AllHostsLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now := time.Now(); now.Sub(f.lostAt) > lostFor {
@@ -65,5 +65,5 @@
 // mostBeats is how often a host can have announced itself that started when this one did, and
 // one time more.
 func (f *Fleet) mostBeats(now time.Time) int64 {
-	return 2 + int64(now.Sub(f.born)/(f.opts.Announce/2+1))
+	return 2 + int64(now.Sub(f.born)/(f.opts.AnnounceInterval/2+1))
 }
--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -24,7 +24,7 @@
 	limits  map[string]int64
 	budgets []prepaid.Budget
 
-	treasuries []*prepaid.Treasury
+	treasuries []*prepaid.Allocator
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
@@ -38,11 +38,11 @@
 		f := newFleet(self)
 		f.calls.http.Transport = calls
 		announced(f, l.all...)
-		f.SetParts(partsOf(l.limits))
+		f.SetBudgetShares(partsOf(l.limits))
 		tr := prepaid.New(prepaid.Options{
 			Log: l.log.Host(self.Name), Topic: "b", Partitions: 4, Host: fmt.Sprintf("%s/%d", self.Name, incarnation),
-			Plan: prepaid.DefaultPlan, Timeout: time.Second, Interval: 400 * time.Millisecond, Wait: 150 * time.Millisecond,
-			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, Gather: f.Gather, GiveBack: f.GiveBack,
+			Sizing: prepaid.DefaultSizing, Timeout: time.Second, RefreshInterval: 400 * time.Millisecond, MaxWait: 150 * time.Millisecond,
+			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.TransferIdle,
 		})
 		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
 		calls[self.Address] = f.Handler()
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -27,7 +27,7 @@
 // pool is a fleet of hosts that share prepaid budgets, in one process.
 type pool struct {
 	log        *memlog.Log
-	treasuries []*prepaid.Treasury
+	treasuries []*prepaid.Allocator
 }
 
 // newPool starts n hosts in five failure domains; parts are those of the organisations.
@@ -41,11 +41,11 @@
 		f := newFleet(self)
 		f.calls.http.Transport = calls
 		announced(f, all...)
-		f.SetParts(partsOf(limits))
+		f.SetBudgetShares(partsOf(limits))
 		tr := prepaid.New(prepaid.Options{
-			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Plan: prepaid.DefaultPlan,
-			Timeout: 100 * time.Millisecond, Interval: 400 * time.Millisecond, Wait: 100 * time.Millisecond,
-			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, Gather: f.Gather, GiveBack: f.GiveBack,
+			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Sizing: prepaid.DefaultSizing,
+			Timeout: 100 * time.Millisecond, RefreshInterval: 400 * time.Millisecond, MaxWait: 100 * time.Millisecond,
+			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.TransferIdle,
 		})
 		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
 		calls[self.Address] = f.Handler()
--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -29,10 +29,10 @@
 		if err != nil {
 			continue
 		}
-		if !ok || got.Able {
+		if !ok || got.LogReachable {
 			advice, ok = got, true
 		}
-		if got.Able {
+		if got.LogReachable {
 			break
 		}
 	}
@@ -67,8 +67,8 @@
 	return f.silentLast(addresses)
 }
 
-// FirstOfRollout says whether this host is the first that may conduct the rollout of a service.
-func (f *Fleet) FirstOfRollout(service string) bool { return f.First(rolloutDuty(service)) }
+// IsPrimaryForRollout says whether this host is the first that may conduct the rollout of a service.
+func (f *Fleet) IsPrimaryForRollout(service string) bool { return f.IsPrimary(rolloutDuty(service)) }
 
 func rolloutDuty(service string) string { return "rollout/" + service }
 
@@ -83,7 +83,7 @@
 // conduct is this host's advice.
 func (f *Fleet) conduct(r rollout.Report) rollout.Advice {
 	if f.opts.Rollouts == nil {
-		return rollout.Advice{Phase: rollout.Held}
+		return rollout.Advice{Phase: rollout.PhaseHeld}
 	}
 	return f.opts.Rollouts.Conduct(r)
 }
--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -22,8 +22,8 @@
 	t.Helper()
 	c := followed(t, l, name)
 	f := New(Options{
-		Self: Host{Name: name, Incarnation: "1"}, Timeout: time.Second,
-		Copies: map[string]*replica.Replica{configs.Topic: c},
+		Self: Host{Name: name, Incarnation: "1"}, CallTimeout: time.Second,
+		Replicas: map[string]*replica.Replica{configs.Topic: c},
 	})
 	server := httptest.NewServer(f.Handler())
 	t.Cleanup(server.Close)
@@ -33,7 +33,7 @@
 
 // followed is a host's copy of the configuration, kept up until the test ends.
 func followed(t *testing.T, l *memlog.Log, host string) *replica.Replica {
-	c := replica.New(replica.Options{Log: l.Host(host), Partition: configs, LongPoll: time.Second, Slack: time.Second})
+	c := replica.New(replica.Options{Log: l.Host(host), Partition: configs, LongPoll: time.Second, ReadTimeout: time.Second})
 	untilEnd(t, c.Run)
 	return c
 }
@@ -93,9 +93,9 @@
 	c := followed(t, l, "cut")
 	f := New(Options{
 		Self: Host{Name: "cut", Incarnation: "1"}, Log: l.Host("cut"), Topic: "hosts",
-		Seeds:    []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
-		Announce: time.Hour, Pull: pull, Timeout: timeout,
-		Copies: map[string]*replica.Replica{configs.Topic: c},
+		Seeds:            []string{link.To(t, peerAt(t, l, "peer1")), link.To(t, peerAt(t, l, "peer2"))},
+		AnnounceInterval: time.Hour, PullInterval: pull, CallTimeout: timeout,
+		Replicas: map[string]*replica.Replica{configs.Topic: c},
 	})
 	untilEnd(t, f.Run)
 	for end := time.Now().Add(inForce); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -29,16 +29,16 @@
 	if kind := q.authenticate(); kind != OK {
 		return kind, nil
 	}
-	if kind := h.opts.Takes(q.ctx, q.arrived, q.route.Kind == routing.Streaming); kind != OK {
+	if kind := h.opts.MayBegin(q.ctx, q.arrived, q.route.Kind == routing.Streaming); kind != OK {
 		return kind, nil
 	}
 	if !h.opts.Overload.Admit(q.arrived) {
 		return HostBusy, nil
 	}
-	if q.regions().None() {
+	if q.regions().Empty() {
 		return NoRegion, nil
 	}
-	q.service = q.route.Pick(rand.Float64())
+	q.service = q.route.PickService(rand.Float64())
 	if s := q.config.Service(q.service); s != nil {
 		q.engine = s.Engine
 	}
@@ -47,12 +47,12 @@
 		return kind, err
 	}
 	q.digest = q.content().Digest()
-	if h.opts.Quarantine.Held(q.digest) {
+	if h.opts.Quarantine.IsQuarantined(q.digest) {
 		return Quarantined, nil
 	}
 	q.head = h.commonHead(q.r, q.body)
 	q.resume = q.r.Header.Get(h.names.LastEventID)
-	h.opts.Retries.Of(q.service).Request(q.arrived)
+	h.opts.Retries.ForService(q.service).CountRequest(q.arrived)
 	return q.reserve()
 }
 
@@ -84,7 +84,7 @@
 	if q.organisation != nil {
 		organisation = newest.Organisation(q.organisation.Name)
 	}
-	return regions.And(newest.Regions(newest.Match(q.r.Host, q.path()), organisation))
+	return regions.Intersect(newest.Regions(newest.Match(q.r.Host, q.path()), organisation))
 }
 
 // callerMargin is kept free before a caller's deadline for the last answer's way.
@@ -166,7 +166,7 @@
 		return CallerGone, err
 	}
 	q.end.Budget, _ = q.handler.opts.Budgets.Holding(q.organisation.Name)
-	if errors.Is(err, prepaid.ErrNever) {
+	if errors.Is(err, prepaid.ErrTooLarge) {
 		return OverBudget, err
 	}
 	return BudgetWait, err
--- a/router/forward/call.go
+++ b/router/forward/call.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/rollout"
 	"maststage.dev/router/routing"
 	"maststage.dev/router/target"
@@ -25,25 +25,25 @@
 	started := time.Now()
 	work := float64(q.usage.in)
 	targets := q.handler.opts.Targets
-	targets.Begin(t, work)
+	targets.BeginRequest(t, work)
 	c := &call{request: q, target: t, started: started, work: work, ask: q.ask(len(q.excluded) == 0)}
 	res, err := c.do(ctx)
-	q.handler.opts.Rollouts.Ended(c.ask, t.Version, c.answer(res, targets.Cold(t)))
+	q.handler.opts.Rollouts.Ended(c.ask, t.Version, c.answer(res, targets.IsCold(t)))
 	if c.wentSilent(res) {
 		t.Pool.CloseIdle()
 	}
 	q.charge(c, res)
 	c.lookForEnd(res)
 	if res == delivered && c.whole {
-		q.handler.opts.Quarantine.Whole(q.digest)
+		q.handler.opts.Quarantine.RecordCompletion(q.digest)
 	}
-	targets.End(t, c.work, c.judgement(res))
+	targets.EndRequest(t, c.work, c.judgement(res))
 	if res == notSent && !q.handler.opts.Overload.Overloaded(time.Now()) {
-		targets.DialFailed(t)
+		targets.RecordDialFailure(t)
 	}
-	q.handler.opts.Observer.Tried(Try{
+	q.handler.opts.Observer.AttemptEnded(Attempt{
 		RequestID: q.id, Number: q.tries, Target: t.ID, Domain: t.Domain, Result: res.String(),
-		Status: c.status, Resumed: c.resumed, Took: time.Since(started), Err: err,
+		Status: c.status, ResumedAfter: c.resumed, Duration: time.Since(started), Err: err,
 	})
 	if c.ready != nil {
 		c.ready.pass(q)
@@ -55,11 +55,11 @@
 type call struct {
 	request *request
 	target  *target.Target
-	conn    *exchange.Conn // another request's, once it is done
+	conn    *httpconn.Conn // another request's, once it is done
 	reused  bool           // it had carried answers before
 	started time.Time
 	work    float64 // counted at the target until it answers
-	ask     rollout.Ask
+	ask     rollout.Request
 	begins  time.Duration // until the answer began, 0: it did not
 	first   time.Time     // when the first event came
 	last    time.Time     // when the newest event came
@@ -110,9 +110,9 @@
 
 // answered notes that the target began to answer.
 func (c *call) answered() {
-	c.target.Heard(time.Now())
+	c.target.RecordActivity(time.Now())
 	c.begins = time.Since(c.started)
-	c.request.handler.opts.Targets.Answered(c.target, c.work, c.begins)
+	c.request.handler.opts.Targets.RecordFirstByte(c.target, c.work, c.begins)
 	c.work = 0
 }
 
@@ -131,9 +131,9 @@
 	}
 	c.resumed = q.lastEventID()
 	head := q.handler.tryHead(q, c.target.ID, left)
-	if f := conn.Send(ctx, exchange.Request{Method: q.r.Method, Head: head, Body: q.body}); f != nil {
-		conn.Done(false)
-		if !f.Sent {
+	if f := conn.Send(ctx, httpconn.Request{Method: q.r.Method, Head: head, Body: q.body}); f != nil {
+		conn.Finish(false)
+		if !f.MaybeSent {
 			return c.ended(ctx, notSent, f)
 		}
 		c.noteSent()
@@ -156,7 +156,7 @@
 // defaultDeadline is handed on when neither caller nor route has one.
 const defaultDeadline = time.Minute
 
-func (c *call) connect(ctx context.Context) (*exchange.Conn, error) {
+func (c *call) connect(ctx context.Context) (*httpconn.Conn, error) {
 	rest := restSafe
 	if !c.request.route.Repeatable() {
 		rest = restUnsafe
@@ -166,18 +166,18 @@
 	began := time.Now()
 	conn, err := c.target.Pool.Get(dial, rest)
 	if now := time.Now(); c.dialled(ctx, conn, err) {
-		c.request.handler.opts.Overload.Dialled(c.target.ID, now.Sub(began), now)
+		c.request.handler.opts.Overload.RecordDial(c.target.ID, now.Sub(began), now)
 	}
 	return conn, err
 }
 
 // dialled says whether the time of a connection tells how long dials take: not if none was
 // made, nor if the request ended meanwhile.
-func (c *call) dialled(ctx context.Context, conn *exchange.Conn, err error) bool {
+func (c *call) dialled(ctx context.Context, conn *httpconn.Conn, err error) bool {
 	switch {
 	case err == nil:
 		return !conn.Reused()
-	case errors.Is(err, exchange.ErrLimit), errors.Is(err, exchange.ErrClosed):
+	case errors.Is(err, httpconn.ErrConnLimit), errors.Is(err, httpconn.ErrClosed):
 		return false
 	}
 	return ctx.Err() == nil
@@ -205,21 +205,21 @@
 	for range maxCrossed {
 		resp, f := c.conn.Receive()
 		if f != nil {
-			c.conn.Done(false)
+			c.conn.Finish(false)
 			return c.ended(ctx, c.silence.result(broken), f)
 		}
 		if id := resp.Header.Get(q.handler.names.RequestID); id != "" && id != q.id {
 			// An answer to another request came in its place; ours may follow.
-			c.conn.Spoil()
-			if _, ok, err := exchange.ReadWhole(resp.Body, maxWhole); !ok || err != nil {
-				c.conn.Done(false)
+			c.conn.DisableReuse()
+			if _, ok, err := httpconn.ReadLimited(resp.Body, maxWhole); !ok || err != nil {
+				c.conn.Finish(false)
 				return c.ended(ctx, broken, errors.New("an answer to another request"))
 			}
 			continue
 		}
 		return c.handle(ctx, resp)
 	}
-	c.conn.Done(false)
+	c.conn.Finish(false)
 	return c.ended(ctx, broken, errors.New("only answers to other requests"))
 }
 
@@ -238,14 +238,14 @@
 	c.answered()
 	c.whole = provesARun(resp)
 	if resp.Header.Get(names.Stamp) == "" {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return broken, fmt.Errorf("target: %s without its signature", resp.Status)
 	}
 	if q.route.Kind == routing.Streaming && resp.StatusCode < http.StatusMultipleChoices {
 		return c.passStream(ctx, resp)
 	}
 	if q.stream != nil && q.stream.begun {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return broken, fmt.Errorf("target: %s in place of the rest of a stream", resp.Status)
 	}
 	return c.passWhole(ctx, resp)
@@ -254,8 +254,8 @@
 // finish reads the rest of an answer that is not passed on, so that the
 // connection may be used again.
 func (c *call) finish(resp *http.Response) {
-	_, ok, err := exchange.ReadWhole(resp.Body, maxRest)
-	c.conn.Done(ok && err == nil)
+	_, ok, err := httpconn.ReadLimited(resp.Body, maxRest)
+	c.conn.Finish(ok && err == nil)
 }
 
 // maxRest bounds what is read of an answer that nobody needs, in bytes.
--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -20,7 +20,7 @@
 		c.first = now
 	} else {
 		q := c.request
-		q.handler.opts.Targets.Paused(c.target, now.Sub(c.last)-c.held, routing.Milliseconds(q.route.GapTargetMs))
+		q.handler.opts.Targets.RecordGap(c.target, now.Sub(c.last)-c.held, routing.Milliseconds(q.route.GapTargetMs))
 	}
 	c.events += n
 	c.last = now
@@ -36,7 +36,7 @@
 		q.begun = true
 	}
 	if res == delivered && c.events > 0 {
-		q.handler.opts.Meter.Note(q.service, c.first.Sub(c.started), c.last.Sub(c.first), c.events)
+		q.handler.opts.Meter.Observe(q.service, c.first.Sub(c.started), c.last.Sub(c.first), c.events)
 		return
 	}
 	if most := c.mostUnseen(time.Now()); most > 0 {
@@ -48,7 +48,7 @@
 // mostUnseen bounds the tokens that the target may have made and that did not come.
 func (c *call) mostUnseen(now time.Time) int64 {
 	q := c.request
-	events, known := q.handler.opts.Meter.Unseen(q.service, now.Sub(c.started), c.events)
+	events, known := q.handler.opts.Meter.MaxUndelivered(q.service, now.Sub(c.started), c.events)
 	if !known || q.engine.Stride <= 0 {
 		return q.usage.out
 	}
--- a/router/forward/ends.go
+++ b/router/forward/ends.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"maststage.dev/lib/guard"
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/quarantine"
 )
 
@@ -49,36 +49,36 @@
 	}
 	b := c.brokeOff(time.Now())
 	look := make(chan bool, 1)
-	q.look, q.young = look, quarantine.Young(b.Ran)
+	q.look, q.young = look, quarantine.IsEarlyExit(b.SinceFirstEvent)
 	h, t, report := q.handler, c.target, q.reportOf(b)
 	guard.Go("target's end", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), endLook)
 		defer cancel()
-		ended := h.opts.Targets.Ended(ctx, t)
+		ended := h.opts.Targets.ProbeExited(ctx, t)
 		if ended {
-			h.opts.Quarantine.Broke(report)
-			h.opts.Observer.Broke(b)
+			h.opts.Quarantine.RecordExit(report)
+			h.opts.Observer.TargetExited(b)
 		}
 		look <- ended
 	})
 }
 
 // brokeOff tells of a try that broke off just now.
-func (c *call) brokeOff(now time.Time) Break {
+func (c *call) brokeOff(now time.Time) TargetExit {
 	q := c.request
-	b := Break{
+	b := TargetExit{
 		RequestID: q.id, Digest: q.digest, Target: q.handler.opts.Targets.Incarnation(c.target).String(), Service: q.service,
-		Events: c.events, Took: now.Sub(c.started),
+		Events: c.events, Duration: now.Sub(c.started),
 	}
 	if c.events > 0 {
-		b.Ran = now.Sub(c.first)
+		b.SinceFirstEvent = now.Sub(c.first)
 	}
 	return b
 }
 
-func (q *request) reportOf(b Break) quarantine.Report {
+func (q *request) reportOf(b TargetExit) quarantine.Report {
 	r := quarantine.Report{
-		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Young: quarantine.Young(b.Ran),
+		Digest: b.Digest, Service: b.Service, RequestID: b.RequestID, Target: b.Target, Early: quarantine.IsEarlyExit(b.SinceFirstEvent),
 	}
 	if q.organisation != nil {
 		r.Organisation = q.organisation.Name
@@ -97,7 +97,7 @@
 		}
 	case <-time.After(blameWait):
 	}
-	return q.young && q.handler.opts.Quarantine.Ends(q.digest) >= endsToBlame
+	return q.young && q.handler.opts.Quarantine.TargetExits(q.digest) >= endsToBlame
 }
 
 // waits are the tries that wait for the beginning of an answer, so that those of a request
@@ -105,23 +105,23 @@
 // note ends before its connection may carry another request.
 type waits struct {
 	mu    sync.Mutex
-	conns map[quarantine.Digest][]*exchange.Conn
+	conns map[quarantine.Digest][]*httpconn.Conn
 }
 
-func newWaits() *waits { return &waits{conns: map[quarantine.Digest][]*exchange.Conn{}} }
+func newWaits() *waits { return &waits{conns: map[quarantine.Digest][]*httpconn.Conn{}} }
 
 // add notes a try and gives what ends the note.
-func (w *waits) add(d quarantine.Digest, conn *exchange.Conn) (done func()) {
+func (w *waits) add(d quarantine.Digest, conn *httpconn.Conn) (done func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conns[d] = append(w.conns[d], conn)
 	return func() { w.remove(d, conn) }
 }
 
-func (w *waits) remove(d quarantine.Digest, conn *exchange.Conn) {
+func (w *waits) remove(d quarantine.Digest, conn *httpconn.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	rest := slices.DeleteFunc(w.conns[d], func(c *exchange.Conn) bool { return c == conn })
+	rest := slices.DeleteFunc(w.conns[d], func(c *httpconn.Conn) bool { return c == conn })
 	if len(rest) == 0 {
 		delete(w.conns, d)
 		return
@@ -138,5 +138,5 @@
 	}
 }
 
-// Hold takes back the tries of a request that came into quarantine.
-func (h *Handler) Hold(d quarantine.Digest) { h.waits.abort(d) }
+// AbortWaiting takes back the tries of a request that came into quarantine.
+func (h *Handler) AbortWaiting(d quarantine.Digest) { h.waits.abort(d) }
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"maststage.dev/router/metering"
 	"maststage.dev/router/overload"
 	"maststage.dev/router/prepaid"
 	"maststage.dev/router/quarantine"
 	"maststage.dev/router/retrybudget"
 	"maststage.dev/router/routing"
+	"maststage.dev/router/streampace"
 	"maststage.dev/router/target"
 	"maststage.dev/router/unread"
 )
@@ -28,14 +28,14 @@
 
 // Quarantine keeps requests that crash targets from being sent; *quarantine.Guard does.
 type Quarantine interface {
-	// Held says whether a request must not be sent.
-	Held(d quarantine.Digest) bool
-	// Ends counts the ends of targets under a request that this host knows of.
-	Ends(d quarantine.Digest) int
-	// Broke notes that a request broke off because its target ended.
-	Broke(r quarantine.Report)
-	// Whole notes that a target ran a request to its end.
-	Whole(d quarantine.Digest)
+	// IsQuarantined says whether a request must not be sent.
+	IsQuarantined(d quarantine.Digest) bool
+	// TargetExits counts the ends of targets under a request that this host knows of.
+	TargetExits(d quarantine.Digest) int
+	// RecordExit notes that a request broke off because its target ended.
+	RecordExit(r quarantine.Report)
+	// RecordCompletion notes that a target ran a request to its end.
+	RecordCompletion(d quarantine.Digest)
 }
 
 // Options configure a Handler.
@@ -44,7 +44,7 @@
 	Targets  *target.Registry
 	Budgets  Budgets
 	Retries  *retrybudget.Set
-	Meter    *metering.Meter
+	Meter    *streampace.Estimator
 	Overload *overload.Monitor
 	// Quarantine is told how tries ended and asked before each.
 	Quarantine Quarantine
@@ -52,14 +52,14 @@
 	// Rollouts says which versions a request may use and is told how it fared there; nil: any.
 	Rollouts Rollouts
 	// Unread bounds what is held for callers that don't read.
-	Unread *unread.Book
-	// Leaving says that callers are to use other hosts: connections are to be closed.
-	Leaving func() bool
-	// Takes says whether a request that arrived may begin: OK, or why not. It may wait a
+	Unread *unread.Tracker
+	// CloseConnections says that callers are to use other hosts: connections are to be closed.
+	CloseConnections func() bool
+	// MayBegin says whether a request that arrived may begin: OK, or why not. It may wait a
 	// little for that.
-	Takes func(ctx context.Context, arrived time.Time, streaming bool) Kind
-	// Lost is how long the host was suspended in all; nil: never.
-	Lost func() time.Duration
+	MayBegin func(ctx context.Context, arrived time.Time, streaming bool) Kind
+	// Suspended is how long the host was suspended in all; nil: never.
+	Suspended func() time.Duration
 }
 
 // Handler serves callers.
@@ -82,14 +82,14 @@
 	return &Handler{opts: opts, names: names, own: names.own(), kept: names.kept(), waits: newWaits()}
 }
 
-// Configure puts a configuration in force.
-func (h *Handler) Configure(c *routing.Config) { h.config.Store(c) }
+// SetConfig puts a configuration in force.
+func (h *Handler) SetConfig(c *routing.Config) { h.config.Store(c) }
 
 // Config is the configuration in force, nil if there is none.
 func (h *Handler) Config() *routing.Config { return h.config.Load() }
 
-// Open counts the requests under way.
-func (h *Handler) Open() int64 { return h.open.Load() }
+// InFlight counts the requests under way.
+func (h *Handler) InFlight() int64 { return h.open.Load() }
 
 // request is the state of one request.
 type request struct {
@@ -122,20 +122,20 @@
 	begun    bool   // a target may have begun to hand tokens out
 	unseen   int64  // tokens that targets may have made and that did not come
 	stream   *stream
-	look     <-chan bool    // tells whether the target of the newest broken try ended
-	young    bool           // that try had run for a moment at most
-	spared   int            // of tries, those that a target's end broke and that can't have caused it
-	after    time.Duration  // when to come back, 0: as its kind says
-	unread   *unread.Answer // nil until the caller was passed something
-	room     int64          // reserved for a whole answer, in bytes
-	end      End
+	look     <-chan bool      // tells whether the target of the newest broken try ended
+	young    bool             // that try had run for a moment at most
+	spared   int              // of tries, those that a target's end broke and that can't have caused it
+	after    time.Duration    // when to come back, 0: as its kind says
+	unread   *unread.Response // nil until the caller was passed something
+	room     int64            // reserved for a whole answer, in bytes
+	end      Outcome
 }
 
 // ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.open.Add(1)
 	defer h.open.Add(-1)
-	if h.opts.Leaving() {
+	if h.opts.CloseConnections() {
 		w.Header().Set("Connection", "close")
 	}
 	q := &request{handler: h, w: w, r: r, ctx: r.Context(), arrived: time.Now(), lostBefore: h.lost(), excluded: map[string]bool{}}
@@ -150,12 +150,12 @@
 	}
 	q.freeRoom()
 	if q.unread != nil {
-		q.handler.opts.Unread.Close(q.unread)
+		q.handler.opts.Unread.Untrack(q.unread)
 	}
 	if q.reserved != nil {
-		q.end.Reserved = q.reserved.Tokens()
-		q.end.Used = q.used()
-		q.reserved.Settle(q.end.Used)
+		q.end.TokensReserved = q.reserved.Tokens()
+		q.end.TokensUsed = q.used()
+		q.reserved.Settle(q.end.TokensUsed)
 	}
 	if kind != OK && kind != CutOff && kind != CallerGone {
 		q.refuse(kind)
@@ -169,8 +169,8 @@
 func (q *request) report(kind Kind, err error) {
 	e := &q.end
 	e.RequestID, e.Digest, e.Kind, e.Err = q.id, q.digest, kind, err
-	e.Service, e.Tries = q.service, q.tries
-	e.Took = time.Since(q.arrived)
+	e.Service, e.Attempts = q.service, q.tries
+	e.Duration = time.Since(q.arrived)
 	if q.route != nil {
 		e.Route = q.route.Name
 	}
@@ -180,7 +180,7 @@
 	if q.config != nil {
 		e.ConfigVersion = q.config.Version
 	}
-	q.handler.opts.Observer.Ended(*e)
+	q.handler.opts.Observer.RequestEnded(*e)
 }
 
 // refuse gives the final answer of a kind.
@@ -212,10 +212,10 @@
 // lost is how long the host was suspended in all: callers went on waiting meanwhile, though the
 // clock stood.
 func (h *Handler) lost() time.Duration {
-	if h.opts.Lost == nil {
+	if h.opts.Suspended == nil {
 		return 0
 	}
-	return h.opts.Lost()
+	return h.opts.Suspended()
 }
 
 // lastEventID is the event behind which the stream is to go on.
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -17,12 +17,12 @@
 	log "github.com/sirupsen/logrus"
 
 	"maststage.dev/router/eventlog"
-	"maststage.dev/router/metering"
 	"maststage.dev/router/overload"
 	"maststage.dev/router/prepaid"
 	"maststage.dev/router/quarantine"
 	"maststage.dev/router/retrybudget"
 	"maststage.dev/router/routing"
+	"maststage.dev/router/streampace"
 	"maststage.dev/router/target"
 	"maststage.dev/router/unread"
 	"maststage.dev/standin/backend"
@@ -47,7 +47,7 @@
 
 // fakeBudgets counts reservations; free bounds them if it is not negative.
 type fakeBudgets struct {
-	treasury *prepaid.Treasury
+	treasury *prepaid.Allocator
 	err      error
 }
 
@@ -63,31 +63,31 @@
 // recorder keeps what the handler reports.
 type recorder struct {
 	mu     sync.Mutex
-	ends   []End
-	tries  []Try
-	breaks []Break
+	ends   []Outcome
+	tries  []Attempt
+	breaks []TargetExit
 }
 
-func (r *recorder) Tried(t Try) {
+func (r *recorder) AttemptEnded(t Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tries = append(r.tries, t)
 }
 
-func (r *recorder) Ended(e End) {
+func (r *recorder) RequestEnded(e Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = append(r.ends, e)
 }
 
-func (r *recorder) Broke(b Break) {
+func (r *recorder) TargetExited(b TargetExit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breaks = append(r.breaks, b)
 }
 
 // last waits for the end of the request.
-func (r *recorder) last(t *testing.T, id string) End {
+func (r *recorder) last(t *testing.T, id string) Outcome {
 	t.Helper()
 	for range 500 {
 		r.mu.Lock()
@@ -101,7 +101,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Fatalf("request %s did not end", id)
-	return End{}
+	return Outcome{}
 }
 
 // tellTries logs how the tries of a failed test went.
@@ -112,10 +112,10 @@
 	b.recorder.mu.Lock()
 	defer b.recorder.mu.Unlock()
 	for _, try := range b.recorder.tries {
-		b.t.Logf("try %d at %s: %s after %v, behind %q: %v", try.Number, try.Target, try.Result, try.Took, try.Resumed, try.Err)
+		b.t.Logf("try %d at %s: %s after %v, behind %q: %v", try.Number, try.Target, try.Result, try.Duration, try.ResumedAfter, try.Err)
 	}
 	for _, broke := range b.recorder.breaks {
-		b.t.Logf("end of %s seen, ran %v", broke.Target, broke.Ran)
+		b.t.Logf("end of %s seen, ran %v", broke.Target, broke.SinceFirstEvent)
 	}
 }
 
@@ -125,7 +125,7 @@
 func (nobody) CountingHosts(quarantine.Digest) (others []string, place int) { return nil, 0 }
 func (nobody) Report(context.Context, string, []quarantine.Report) error    { return nil }
 func (nobody) Cleared(context.Context, quarantine.Digest) bool              { return false }
-func (nobody) Tell(context.Context, quarantine.Notice)                      {}
+func (nobody) Broadcast(context.Context, quarantine.Notice)                 {}
 
 // bench is a handler between a caller and backends.
 type bench struct {
@@ -136,9 +136,9 @@
 	targets  *target.Registry
 	budgets  *fakeBudgets
 	recorder *recorder
-	meter    *metering.Meter
+	meter    *streampace.Estimator
 	overload *overload.Monitor
-	unread   *unread.Book
+	unread   *unread.Tracker
 	guard    *quarantine.Guard
 	backends map[string]*backend.Backend
 	draining atomic.Bool
@@ -158,23 +158,23 @@
  "organisations":[{"name":"org","keys":["k1","k2"],"priority":1}]}`
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, is: is.New(t), recorder: &recorder{}, meter: metering.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
+	b := &bench{t: t, is: is.New(t), recorder: &recorder{}, meter: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
 	b.takes.Store(true)
 	b.targets = target.NewRegistry(target.Options{
-		Domain: "z1", DrainWithin: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
+		Domain: "z1", DrainLimit: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
 	})
 	one := func() int { return 1 }
-	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, Wait: 20 * time.Millisecond})
+	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, MaxWait: 20 * time.Millisecond})
 	b.guard = quarantine.New(quarantine.Options{
 		Host: "h1", Write: func(context.Context, eventlog.Record) error { return nil },
-		OnHold: func(d quarantine.Digest) { b.handler.Hold(d) }, Count: func(string) {}, Go: func(_ string, f func()) { go f() },
+		OnQuarantine: func(d quarantine.Digest) { b.handler.AbortWaiting(d) }, Count: func(string) {}, Go: func(_ string, f func()) { go f() },
 	})
 	b.guard.SetPeers(nobody{})
 	b.handler = New(Options{
 		Quarantine: b.guard, Unread: b.unread,
 		Names: testHeaders, Targets: b.targets, Budgets: b.budgets, Observer: b.recorder, Meter: b.meter, Overload: b.overload,
-		Retries: retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
-		Leaving: func() bool { return b.draining.Load() || b.overload.Out(time.Now()) }, Takes: b.mayBegin,
+		Retries:          retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
+		CloseConnections: func() bool { return b.draining.Load() || b.overload.IsUnready(time.Now()) }, MayBegin: b.mayBegin,
 	})
 	b.configure(testConfig)
 	b.server = httptest.NewServer(b.handler)
@@ -194,7 +194,7 @@
 	b.t.Helper()
 	config, err := routing.Parse([]byte(text))
 	b.is.NoErr(err)
-	b.handler.Configure(config)
+	b.handler.SetConfig(config)
 }
 
 // add starts a backend of a service and lists it.
--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -23,21 +23,21 @@
 	targets := c.request.handler.opts.Targets
 	statement, err := limit.Parse(resp.Header[names.Limit], refusal)
 	if err != nil {
-		targets.MalformedLimit(c.target, err)
+		targets.RecordMalformedLimit(c.target, err)
 		return
 	}
-	targets.StateLimit(c.target, statement)
+	targets.RecordLimit(c.target, statement)
 }
 
 // noTarget says why no target takes the request, and sets what its caller is told where those that could
 // name limits: when to come back, and to another host if this one sends them nothing.
 func (q *request) noTarget() Kind {
-	full, ok := q.handler.opts.Targets.FullFor(q.want(q.excluded))
+	full, ok := q.handler.opts.Targets.LimitsExhaustedFor(q.want(q.excluded))
 	if !ok {
 		return NoTarget
 	}
-	q.after = full.After
-	if !full.Share {
+	q.after = full.RetryAfter
+	if !full.HasShare {
 		q.w.Header().Set("Connection", "close")
 	}
 	return TargetsFull
@@ -49,7 +49,7 @@
 // awaitPlace waits a moment for a target that goes on with a stream whose beginning its caller has:
 // refused, it would be lost. It says whether one may be found then.
 func (q *request) awaitPlace(ctx context.Context) bool {
-	if q.stream == nil || !q.stream.begun || !q.handler.opts.Targets.HasPlaces(q.want(q.excluded)) {
+	if q.stream == nil || !q.stream.begun || !q.handler.opts.Targets.HasLimitShare(q.want(q.excluded)) {
 		return false
 	}
 	select {
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -50,10 +50,10 @@
 	unsent := 0
 	var last error
 	for {
-		if q.handler.opts.Quarantine.Held(q.digest) {
+		if q.handler.opts.Quarantine.IsQuarantined(q.digest) {
 			return q.giveUp(Quarantined, last)
 		}
-		if q.regions().None() {
+		if q.regions().Empty() {
 			return q.giveUp(NoRegion, last)
 		}
 		t := q.choose(q.excluded)
@@ -118,7 +118,7 @@
 	}
 	others := maps.Clone(q.excluded)
 	others[target] = true
-	if !q.route.Repeatable() || !q.handler.opts.Targets.HasChoice(q.want(others)) {
+	if !q.route.Repeatable() || !q.handler.opts.Targets.HasCandidate(q.want(others)) {
 		return false
 	}
 	q.claimed = q.mayTryAgain(silent, true)
@@ -150,7 +150,7 @@
 	if res.mayHaveRun() && !q.reserveAnother(underway) {
 		return false
 	}
-	return q.handler.opts.Retries.Of(q.service).Spend(time.Now())
+	return q.handler.opts.Retries.ForService(q.service).Spend(time.Now())
 }
 
 // choose picks a target. Where the request was to try a new version and none of its targets takes
@@ -167,11 +167,11 @@
 }
 
 // want is what the request asks of a target as a repeat.
-func (q *request) want(excluded map[string]bool) target.Want {
-	return target.Want{
-		Service: q.service, Affinity: sharedParts(q.shared), Work: float64(q.usage.in), Exclude: excluded,
-		Rank:    q.rank(),
-		Regions: q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
+func (q *request) want(excluded map[string]bool) target.Requirements {
+	return target.Requirements{
+		Service: q.service, Affinity: sharedParts(q.shared), PromptTokens: float64(q.usage.in), Exclude: excluded,
+		Priority: q.rank(),
+		Regions:  q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
 	}
 }
 
--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -12,10 +12,10 @@
 func (q *request) passPiece(bytes int, write func() error) error {
 	if q.unread == nil {
 		control := http.NewResponseController(q.w)
-		q.unread = q.handler.opts.Unread.Open(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
+		q.unread = q.handler.opts.Unread.Track(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
 	}
-	q.unread.Pass(int64(len(q.body)+bytes+connectionBytes), time.Now())
-	defer q.unread.Taken()
+	q.unread.BeginWrite(int64(len(q.body)+bytes+connectionBytes), time.Now())
+	defer q.unread.EndWrite()
 	return write()
 }
 
@@ -41,10 +41,10 @@
 // nor slow meanwhile.
 func (c *call) awaitCaller(send func() error) error {
 	c.silence.pause()
-	c.target.BeginUnread()
+	c.target.BeginCallerWait()
 	began := time.Now()
 	err := send()
 	c.held += time.Since(began)
-	c.target.EndUnread()
+	c.target.EndCallerWait()
 	return err
 }
--- a/router/forward/stream.go
+++ b/router/forward/stream.go
@@ -29,20 +29,20 @@
 		q.stream = &stream{control: http.NewResponseController(q.w)}
 	}
 	s := q.stream
-	s.scanner.Restart()
+	s.scanner.DropPartial()
 	var pending []byte
 	buffer := make([]byte, streamBuffer)
 	for {
 		n, err := resp.Body.Read(buffer)
 		if n > 0 {
-			c.target.Heard(time.Now())
+			c.target.RecordActivity(time.Now())
 			data := buffer[:n]
 			before := s.scanner.Events()
 			whole := s.scanner.Scan(data)
 			c.noteEvents(s.scanner.Events() - before)
 			if whole > 0 {
 				if werr := c.awaitCaller(func() error { return q.sendEvents(resp, pending, data[:whole]) }); werr != nil {
-					c.conn.Done(false)
+					c.conn.Finish(false)
 					return callerGone, werr
 				}
 				pending = pending[:0]
@@ -54,7 +54,7 @@
 		case errors.Is(err, io.EOF):
 			return c.endStream(ctx, resp, pending)
 		case err != nil:
-			c.conn.Done(false)
+			c.conn.Finish(false)
 			return c.ended(ctx, c.silence.result(broken), fmt.Errorf("stream broke off: %w", err))
 		}
 	}
@@ -64,13 +64,13 @@
 func (c *call) endStream(ctx context.Context, resp *http.Response, pending []byte) (result, error) {
 	q := c.request
 	if len(pending) > 0 {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return c.ended(ctx, broken, errors.New("stream ended inside an event"))
 	}
 	if !q.stream.begun {
 		q.beginStream(resp)
 	}
-	c.conn.Done(true)
+	c.conn.Finish(true)
 	return delivered, nil
 }
 
@@ -80,7 +80,7 @@
 	q.w.WriteHeader(resp.StatusCode)
 	q.stream.begun = true
 	q.end.Status = resp.StatusCode
-	q.end.First = time.Since(q.arrived)
+	q.end.FirstByte = time.Since(q.arrived)
 }
 
 // sendEvents passes whole events on at once.
--- a/router/forward/streams_test.go
+++ b/router/forward/streams_test.go
@@ -184,7 +184,7 @@
 	req.Header.Set("X-Deadline", "300")
 	got := b.do(req)
 	b.is.True(got.err != nil)
-	b.is.True(b.recorder.last(t, "r1").Took < 2*time.Second)
+	b.is.True(b.recorder.last(t, "r1").Duration < 2*time.Second)
 }
 
 const budgetConfig = `{"version":8,
@@ -200,8 +200,8 @@
 		status int
 		kind   Kind
 	}{
-		{"none within reach", prepaid.ErrEmpty, "10,5", 503, BudgetWait},
-		{"larger than the budget", prepaid.ErrNever, "10,5", 402, OverBudget},
+		{"none within reach", prepaid.ErrExhausted, "10,5", 503, BudgetWait},
+		{"larger than the budget", prepaid.ErrTooLarge, "10,5", 402, OverBudget},
 		{"worst case not told", nil, "", 400, BadRequest},
 		{"worst case no number", nil, "10,-5", 400, BadRequest},
 	}
--- a/router/forward/whole.go
+++ b/router/forward/whole.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 )
 
 // maxWhole is the size up to which an answer is read whole before any of it is
@@ -28,7 +28,7 @@
 // pass gives the answer to the caller.
 func (a *whole) pass(q *request) {
 	q.end.Status = a.resp.StatusCode
-	q.end.First = time.Since(q.arrived)
+	q.end.FirstByte = time.Since(q.arrived)
 	q.handler.copyHead(q.w, a.resp)
 	if a.resp.ContentLength < 0 {
 		// It came in chunks or without a length and is whole.
@@ -53,15 +53,15 @@
 		size = maxWhole
 	}
 	if size <= leastWhole || !q.handler.opts.Unread.Reserve(size) {
-		return exchange.ReadWhole(resp.Body, leastWhole)
+		return httpconn.ReadLimited(resp.Body, leastWhole)
 	}
 	q.room = size
-	return exchange.ReadWhole(resp.Body, maxWhole)
+	return httpconn.ReadLimited(resp.Body, maxWhole)
 }
 
 // freeRoom ends the reservation of room for a whole answer.
 func (q *request) freeRoom() {
-	q.handler.opts.Unread.Unreserve(q.room)
+	q.handler.opts.Unread.Release(q.room)
 	q.room = 0
 }
 
@@ -71,13 +71,13 @@
 	q := c.request
 	body, fits, err := q.readWhole(resp)
 	if err != nil {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		return c.ended(ctx, c.silence.result(broken), fmt.Errorf("answer broke off: %w", err))
 	}
 	if !fits {
 		return c.passLong(ctx, resp, body)
 	}
-	c.conn.Done(true)
+	c.conn.Finish(true)
 	answer := &whole{resp: resp, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError && q.route.Repeatable() {
 		q.failed = answer
@@ -94,18 +94,18 @@
 func (c *call) passLong(ctx context.Context, resp *http.Response, begin []byte) (result, error) {
 	q := c.request
 	q.end.Status = resp.StatusCode
-	q.end.First = time.Since(q.arrived)
+	q.end.FirstByte = time.Since(q.arrived)
 	q.handler.copyHead(q.w, resp)
 	q.w.WriteHeader(resp.StatusCode)
 	c.silence.pause()
 	to := &unreadWriter{request: q}
 	if _, err := io.Copy(to, io.MultiReader(bytes.NewReader(begin), resp.Body)); err != nil {
-		c.conn.Done(false)
+		c.conn.Finish(false)
 		if to.err != nil {
 			return callerGone, err
 		}
 		return c.ended(ctx, cutOff, fmt.Errorf("answer broke off: %w", err))
 	}
-	c.conn.Done(true)
+	c.conn.Finish(true)
 	return delivered, nil
 }
--- a/router/exchange/pool.go
+++ b/router/httpconn/pool.go
@@ -1,7 +1,7 @@
 // Package exchange sends one HTTP/1.1 request on one connection to a target and
 // reads its answer. It keeps idle connections for reuse. It never repeats a
 // request by itself and says of each failure whether the target may have got it.
-package exchange
+package httpconn
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 
 // Errors of Get. The request was not sent.
 var (
-	// ErrLimit means that the pool has as many connections as it may have.
-	ErrLimit = errors.New("exchange: connection limit reached")
+	// ErrConnLimit means that the pool has as many connections as it may have.
+	ErrConnLimit = errors.New("exchange: connection limit reached")
 	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("exchange: pool is closed")
 )
@@ -27,8 +27,8 @@
 	DialTimeout time.Duration // for a new connection
 	IdleTimeout time.Duration // an idle connection is kept so long unless the target says less
 	MaxIdle     int
-	// UserTimeout is how long sent bytes may stay without acknowledgement.
-	UserTimeout time.Duration
+	// TCPUserTimeout is how long sent bytes may stay without acknowledgement.
+	TCPUserTimeout time.Duration
 	// OnDial is called for each new connection.
 	OnDial func()
 }
@@ -101,7 +101,7 @@
 	n := len(p.idle)
 	if n == 0 {
 		if p.limit > 0 && p.open >= p.limit {
-			return nil, ErrLimit
+			return nil, ErrConnLimit
 		}
 		return nil, nil
 	}
@@ -114,7 +114,7 @@
 	p.mu.Lock()
 	if p.limit > 0 && p.open >= p.limit {
 		p.mu.Unlock()
-		return nil, ErrLimit
+		return nil, ErrConnLimit
 	}
 	p.open++
 	p.mu.Unlock()
@@ -126,7 +126,7 @@
 	if p.opts.OnDial != nil {
 		p.opts.OnDial()
 	}
-	setUserTimeout(nc, p.opts.UserTimeout)
+	setUserTimeout(nc, p.opts.TCPUserTimeout)
 	return &Conn{pool: p, nc: nc, reader: bufio.NewReaderSize(nc, readBuffer)}, nil
 }
 
@@ -167,8 +167,8 @@
 	p.mu.Unlock()
 }
 
-// Sweep closes idle connections whose time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections whose time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var kept, old []*Conn
 	for _, c := range p.idle {
@@ -185,8 +185,8 @@
 	}
 }
 
-// Open counts the connections, idle or not.
-func (p *Pool) Open() int {
+// OpenConns counts the connections, idle or not.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -53,8 +53,8 @@
 	return entry, true
 }
 
-// Tried logs a try that did not bring the answer.
-func (o *Observer) Tried(t forward.Try) {
+// AttemptEnded logs a try that did not bring the answer.
+func (o *Observer) AttemptEnded(t forward.Attempt) {
 	o.set.GetOrCreateCounter(fmt.Sprintf("maststage_tries_total{result=%q}", t.Result)).Inc()
 	if t.Err == nil {
 		return
@@ -65,13 +65,13 @@
 	}
 	entry.WithFields(log.Fields{
 		"request": t.RequestID, "try": t.Number, "target": t.Target, "domain": t.Domain, "result": t.Result,
-		"status": t.Status, "behind": t.Resumed, "took": t.Took.Round(time.Millisecond),
+		"status": t.Status, "behind": t.ResumedAfter, "took": t.Duration.Round(time.Millisecond),
 	}).WithError(t.Err).Info("try failed")
 }
 
-// Broke logs and counts a try that broke off because its target ended. Lines of the same
+// TargetExited logs and counts a try that broke off because its target ended. Lines of the same
 // digest at several targets tell which request may have brought the ends about.
-func (o *Observer) Broke(b forward.Break) {
+func (o *Observer) TargetExited(b forward.TargetExit) {
 	o.Count(fmt.Sprintf("broken_by_ends_total{service=%q}", b.Service))
 	entry, ok := allow(o.failures)
 	if !ok {
@@ -79,16 +79,16 @@
 	}
 	entry.WithFields(log.Fields{
 		"request": b.RequestID, "digest": b.Digest, "target": b.Target, "service": b.Service,
-		"events": b.Events, "took": b.Took.Round(time.Millisecond), "ran": b.Ran.Round(time.Millisecond),
+		"events": b.Events, "took": b.Duration.Round(time.Millisecond), "ran": b.SinceFirstEvent.Round(time.Millisecond),
 	}).Info("broken by the target's end")
 }
 
-// Ended logs and counts a request.
-func (o *Observer) Ended(e forward.End) {
+// RequestEnded logs and counts a request.
+func (o *Observer) RequestEnded(e forward.Outcome) {
 	labels := fmt.Sprintf("organisation=%q,service=%q", e.Organisation, e.Service)
-	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Took.Seconds())
-	if e.First > 0 {
-		o.set.GetOrCreateHistogram("maststage_first_byte_seconds{" + labels + "}").Update(e.First.Seconds())
+	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Duration.Seconds())
+	if e.FirstByte > 0 {
+		o.set.GetOrCreateHistogram("maststage_first_byte_seconds{" + labels + "}").Update(e.FirstByte.Seconds())
 	}
 	o.set.GetOrCreateCounter(fmt.Sprintf("maststage_requests_total{%s,kind=%q}", labels, e.Kind)).Inc()
 	limiter := o.failures
@@ -101,9 +101,9 @@
 	}
 	fields := log.Fields{
 		"request": e.RequestID, "route": e.Route, "organisation": e.Organisation, "service": e.Service,
-		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Tries, "target": e.Target,
-		"events": e.Events, "reserved": e.Reserved, "used": e.Used,
-		"first": e.First.Round(time.Millisecond), "took": e.Took.Round(time.Millisecond),
+		"config": e.ConfigVersion, "kind": e.Kind, "status": e.Status, "tries": e.Attempts, "target": e.Target,
+		"events": e.Events, "reserved": e.TokensReserved, "used": e.TokensUsed,
+		"first": e.FirstByte.Round(time.Millisecond), "took": e.Duration.Round(time.Millisecond),
 	}
 	if e.Kind != forward.OK && e.Digest != (quarantine.Digest{}) {
 		fields["digest"] = e.Digest
--- a/router/overload/overload.go
+++ b/router/overload/overload.go
@@ -30,11 +30,11 @@
 	// rest is how long a host stays out after it was overloaded: callers are balanced
 	// anew within two looks, a second apart, and not sent back at once.
 	rest = 3 * time.Second
-	// Rebalance is the time until callers' new connections go to other hosts: two looks at
+	// RebalanceTime is the time until callers' new connections go to other hosts: two looks at
 	// this host's readiness. Callers who come back before it come to the same full host:
 	// told to come back after 50 ms in place of this, they were refused twice, which cost
 	// 0.01 of a day's worth where one organisation sends 2.5 to 7.5 times its usual.
-	Rebalance = 2 * time.Second
+	RebalanceTime = 2 * time.Second
 )
 
 // dial is the newest attempt to connect to a target.
@@ -53,8 +53,8 @@
 // New makes a monitor of a host at rest.
 func New() *Monitor { return &Monitor{dials: map[string]dial{}} }
 
-// Dialled takes in an attempt to connect, whether it succeeded or not.
-func (m *Monitor) Dialled(target string, took time.Duration, now time.Time) {
+// RecordDial takes in an attempt to connect, whether it succeeded or not.
+func (m *Monitor) RecordDial(target string, took time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dials[target] = dial{at: now, took: took}
@@ -86,9 +86,9 @@
 	return times[int(fastPart*float64(len(times)))], true
 }
 
-// Out says whether callers had better use other hosts: the host is overloaded, or was
+// IsUnready says whether callers had better use other hosts: the host is overloaded, or was
 // a moment ago.
-func (m *Monitor) Out(now time.Time) bool {
+func (m *Monitor) IsUnready(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return now.Before(m.until)
--- a/router/overload/overload_test.go
+++ b/router/overload/overload_test.go
@@ -20,7 +20,7 @@
 // dials notes n connections in turn to some targets.
 func dials(m *Monitor, now time.Time, n, targets int, took time.Duration) {
 	for i := range n {
-		m.Dialled(fmt.Sprint("t", i%targets), took, now)
+		m.RecordDial(fmt.Sprint("t", i%targets), took, now)
 	}
 }
 
@@ -29,10 +29,10 @@
 	now := time.Unix(100, 0)
 	m := New()
 	dials(m, now, 20, 5, 2*ms)
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	is.True(m.Admit(now))
 	dials(m, now, 60, 5, 300*ms)
-	is.True(m.Out(now))
+	is.True(m.IsUnready(now))
 	is.True(m.Overloaded(now))
 	admitted := 0
 	for range 1000 {
@@ -49,11 +49,11 @@
 	now := time.Unix(100, 0)
 	m := New()
 	dials(m, now, 30, 1, 300*ms)
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	for i := 1; i < 8; i++ {
-		m.Dialled(fmt.Sprint("t", i), 2*ms, now)
+		m.RecordDial(fmt.Sprint("t", i), 2*ms, now)
 	}
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	is.True(!m.Overloaded(now))
 }
 
@@ -67,9 +67,9 @@
 		if i%3 == 0 {
 			took = 2 * ms
 		}
-		m.Dialled(fmt.Sprint("t", i), took, now)
+		m.RecordDial(fmt.Sprint("t", i), took, now)
 	}
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 	is.True(m.Admit(now))
 }
 
@@ -82,7 +82,7 @@
 	now = now.Add(span + ms)
 	is.True(m.Admit(now))
 	is.True(!m.Overloaded(now))
-	is.True(m.Out(now))
+	is.True(m.IsUnready(now))
 	now = now.Add(rest)
-	is.True(!m.Out(now))
+	is.True(!m.IsUnready(now))
 }
--- a/router/replica/merge.go
+++ b/router/replica/merge.go
@@ -2,9 +2,9 @@
 
 import "maststage.dev/router/eventlog"
 
-// MergePart takes over what another host's copy tells.
-func (r *Replica) MergePart(part Part) {
-	if !part.Whole {
+// MergeUpdate takes over what another host's copy tells.
+func (r *Replica) MergeUpdate(part Update) {
+	if !part.Full {
 		r.MergeNewest(part.Records, part.End)
 		return
 	}
@@ -100,8 +100,8 @@
 			continue
 		}
 		next := known{Record: rec, changed: rec.Offset}
-		if r.opts.Meaning != nil {
-			next.meaning = r.opts.Meaning(rec)
+		if r.opts.DedupKey != nil {
+			next.meaning = r.opts.DedupKey(rec)
 		}
 		if had && next.meaning != nil && next.meaning == old.meaning {
 			next.changed = old.changed
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -25,14 +25,14 @@
 	Gap bool
 }
 
-// Part is the newest records of keys that changed from some offset on.
-type Part struct {
+// Update is the newest records of keys that changed from some offset on.
+type Update struct {
 	Records []eventlog.Record
 	End     int64         // all records below are known
 	Age     time.Duration // since the log told of them
-	// Whole says that these are all records that there are: what is not among them was
+	// Full says that these are all records that there are: what is not among them was
 	// deleted.
-	Whole bool
+	Full bool
 }
 
 // Options configure a Replica.
@@ -41,24 +41,24 @@
 	Partition eventlog.Partition
 	// LongPoll is how long a read waits at the log.
 	LongPoll time.Duration
-	// Slack is how long an answer may take beyond the wait.
-	Slack time.Duration
-	// Pace is the least time between two reads.
-	Pace time.Duration
+	// ReadTimeout is how long an answer may take beyond the wait.
+	ReadTimeout time.Duration
+	// MinInterval is the least time between two reads.
+	MinInterval time.Duration
 	// Relay asks another host for what changed from an offset on; ok is false if none
 	// can tell. The log is read then. nil: never.
-	Relay func(ctx context.Context, from int64) (part Part, ok bool)
+	Relay func(ctx context.Context, from int64) (part Update, ok bool)
 	// Hosts counts the hosts that copy the same: the more there are, the longer the pauses after
 	// calls that failed, so that all together don't keep the log from coming back. nil: few.
 	Hosts func() int
-	// Meaning gives what counts of a value, comparable. A record of the same meaning as
+	// DedupKey gives what counts of a value, comparable. A record of the same meaning as
 	// the one before is no change. nil: each record is one.
-	Meaning func(rec eventlog.Record) any
+	DedupKey func(rec eventlog.Record) any
 	// OnChange is called for the changes of one read, in order of offsets, with
 	// the replica's lock held; it must not call back or block.
 	OnChange func([]Change)
-	// OnContact is called when the log is lost (err set) or regained (nil).
-	OnContact func(err error)
+	// OnConnectivity is called when the log is lost (err set) or regained (nil).
+	OnConnectivity func(err error)
 }
 
 // Replica is the copy. Records of deleted keys stay as tombstones.
@@ -115,7 +115,7 @@
 		}
 		r.noteContact(age, err)
 		r.noteAsked(started.Add(-age), err)
-		pause := r.opts.Pace - time.Since(started)
+		pause := r.opts.MinInterval - time.Since(started)
 		if err != nil {
 			pause = wait.Jitter(backoff)
 			backoff = min(backoff*2, r.mostBackoff())
@@ -158,8 +158,8 @@
 	}
 }
 
-// AskedSince says whether a question that was asked after a moment has been answered.
-func (r *Replica) AskedSince(t time.Time) bool {
+// RefreshedSince says whether a question that was asked after a moment has been answered.
+func (r *Replica) RefreshedSince(t time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.asked.After(t)
@@ -191,7 +191,7 @@
 	}
 	if r.opts.Relay != nil {
 		if part, ok := r.opts.Relay(ctx, from); ok {
-			r.MergePart(part)
+			r.MergeUpdate(part)
 			return part.Age, nil
 		}
 	}
@@ -200,7 +200,7 @@
 
 // poll waits for records at the log.
 func (r *Replica) poll(ctx context.Context, from int64) error {
-	c, cancel := patience.New(ctx, patience.Limits{First: r.opts.LongPoll + r.opts.Slack, Silence: r.opts.Slack, Most: longestRead})
+	c, cancel := patience.New(ctx, patience.Limits{First: r.opts.LongPoll + r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: longestRead})
 	defer cancel()
 	batch, err := r.opts.Log.Read(c, r.opts.Partition, from, r.opts.LongPoll)
 	if errors.Is(err, eventlog.ErrTrimmed) {
@@ -236,7 +236,7 @@
 		*p = partialLoad{began: time.Now()}
 	}
 	for {
-		c, cancel := patience.New(ctx, patience.Limits{First: 2 * r.opts.Slack, Silence: r.opts.Slack, Most: longestRead})
+		c, cancel := patience.New(ctx, patience.Limits{First: 2 * r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: longestRead})
 		page, err := r.opts.Log.Newest(c, r.opts.Partition, p.after)
 		cancel()
 		if err != nil {
@@ -273,8 +273,8 @@
 	changed := r.up != (err == nil) || !r.called
 	r.up, r.called = err == nil, true
 	r.mu.Unlock()
-	if changed && r.opts.OnContact != nil {
-		r.opts.OnContact(err)
+	if changed && r.opts.OnConnectivity != nil {
+		r.opts.OnConnectivity(err)
 	}
 }
 
@@ -306,19 +306,19 @@
 func (r *Replica) Stale(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.contact) > r.opts.LongPoll+r.opts.Pace+staleMargin
+	return now.Sub(r.contact) > r.opts.LongPoll+r.opts.MinInterval+staleMargin
 }
 
 // staleMargin is how much longer than a long poll and the pause before it an answer
 // may take.
 const staleMargin = 300 * time.Millisecond
 
-// Since gives the records that changed from an offset on, for another host. ok is
+// UpdateSince gives the records that changed from an offset on, for another host. ok is
 // false if the copy may have forgotten some of them.
-func (r *Replica) Since(offset int64) (part Part, ok bool) {
+func (r *Replica) UpdateSince(offset int64) (part Update, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	part = Part{End: r.end, Age: time.Since(r.contact)}
+	part = Update{End: r.end, Age: time.Since(r.contact)}
 	for _, k := range r.records {
 		if k.changed >= offset {
 			part.Records = append(part.Records, k.Record)
@@ -327,13 +327,13 @@
 	return part, offset == 0 || offset >= r.dropped
 }
 
-// PartFrom gives what another host lacks that knows all records below an offset: what changed
+// CatchUpFrom gives what another host lacks that knows all records below an offset: what changed
 // since, or all records if this copy may have forgotten some of the changes.
-func (r *Replica) PartFrom(offset int64) Part {
-	if part, ok := r.Since(offset); ok {
+func (r *Replica) CatchUpFrom(offset int64) Update {
+	if part, ok := r.UpdateSince(offset); ok {
 		return part
 	}
-	part, _ := r.Since(0)
-	part.Whole = true
+	part, _ := r.UpdateSince(0)
+	part.Full = true
 	return part
 }
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -32,13 +32,13 @@
 	log.SetOutput(io.Discard)
 	f := &follower{}
 	f.Replica = New(Options{
-		Log: l.Host(host), Partition: part, LongPoll: 50 * time.Millisecond, Slack: 100 * time.Millisecond,
+		Log: l.Host(host), Partition: part, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond,
 		OnChange: func(c []Change) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.changes = append(f.changes, c...)
 		},
-		OnContact: func(err error) {
+		OnConnectivity: func(err error) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if err != nil {
@@ -148,7 +148,7 @@
 	l.Put(part, "a", []byte("2"))
 	l.Put(part, "dead", nil)
 	until.True(t, "the newest record", func() bool { return good.value("a") == "2" && good.End() == 4 })
-	newer, ok := good.Since(cut.End())
+	newer, ok := good.UpdateSince(cut.End())
 	is.True(ok)
 	cut.MergeNewest(newer.Records, newer.End)
 	is.Equal(cut.value("a"), "2")
@@ -177,7 +177,7 @@
 				told = append(told, string(c.Record.Value))
 			}
 		},
-		Meaning: func(rec eventlog.Record) any {
+		DedupKey: func(rec eventlog.Record) any {
 			if len(rec.Value) == 0 {
 				return nil
 			}
@@ -193,7 +193,7 @@
 	put(3, "b4")
 	is.Equal(told, []string{"a1", "b3"})
 	since := func(offset int64) int {
-		part, _ := r.Since(offset)
+		part, _ := r.UpdateSince(offset)
 		is.Equal(part.End, int64(4))
 		return len(part.Records)
 	}
@@ -212,11 +212,11 @@
 	l.Put(part, "k", []byte("1"))
 	relay := true
 	r := New(Options{
-		Log: l.Host("h"), Partition: part, Slack: time.Second,
-		Relay: func(_ context.Context, from int64) (Part, bool) {
+		Log: l.Host("h"), Partition: part, ReadTimeout: time.Second,
+		Relay: func(_ context.Context, from int64) (Update, bool) {
 			is.Equal(from, int64(1))
 			records := []eventlog.Record{{Key: "k", Value: []byte("2"), Offset: 1}}
-			return Part{Records: records, End: 2, Age: time.Minute}, relay
+			return Update{Records: records, End: 2, Age: time.Minute}, relay
 		},
 	})
 	ctx := context.Background()
@@ -231,7 +231,7 @@
 	is.Equal(r.End(), int64(2))
 	is.Equal(string(r.records["k"].Value), "2")
 
-	r.opts.Relay = func(context.Context, int64) (Part, bool) { return Part{}, false }
+	r.opts.Relay = func(context.Context, int64) (Update, bool) { return Update{}, false }
 	l.Put(part, "k", []byte("2"))
 	l.Put(part, "k", []byte("3"))
 	_, err = r.step(ctx)
@@ -264,7 +264,7 @@
 func TestLoadGoesOnAfterARefusedPage(t *testing.T) {
 	is := is.New(t)
 	l := &busyPages{pages: 20}
-	r := New(Options{Log: l, Partition: part, Slack: time.Second})
+	r := New(Options{Log: l, Partition: part, ReadTimeout: time.Second})
 	for tries := 0; !r.Loaded() && tries < 15; tries++ {
 		_, _ = r.step(t.Context())
 	}
@@ -287,7 +287,7 @@
 	is := is.New(t)
 	r := New(Options{})
 	r.noteContact(time.Minute, nil)
-	part, _ := r.Since(0)
+	part, _ := r.UpdateSince(0)
 	is.True(part.Age >= time.Minute)
 	is.True(r.Stale(time.Now()))
 }
@@ -311,7 +311,7 @@
 	l := memlog.New()
 	l.Put(part, "a", []byte("0"))
 	short := &shortAnswers{Log: l.Host("h")}
-	r := New(Options{Log: short, Partition: part, LongPoll: 50 * time.Millisecond, Slack: 100 * time.Millisecond})
+	r := New(Options{Log: short, Partition: part, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond})
 	is.NoErr(r.load(t.Context()))
 	for i := range 100 {
 		l.Put(part, "a", []byte(fmt.Sprint(i)))
@@ -321,7 +321,7 @@
 		is.NoErr(err)
 	}
 	is.Equal(short.sent.Load(), int64(1))
-	known, _ := r.Since(0)
+	known, _ := r.UpdateSince(0)
 	is.Equal(string(known.Records[0].Value), "99")
 
 	// It follows the log again.
@@ -339,11 +339,11 @@
 	for i := range int64(maxTombstones + 1) {
 		r.Merge([]eventlog.Record{{Key: fmt.Sprint(i), Offset: i}}, i+1, i)
 	}
-	_, ok := r.Since(1)
+	_, ok := r.UpdateSince(1)
 	is.True(!ok)
-	_, ok = r.Since(0)
+	_, ok = r.UpdateSince(0)
 	is.True(ok) // who has nothing misses no deleted key
-	_, ok = r.Since(r.End())
+	_, ok = r.UpdateSince(r.End())
 	is.True(ok)
 }
 
@@ -356,7 +356,7 @@
 	l.Put(part, "kept", []byte("1"))
 	other := follow(t, l, "other")
 	until.True(t, "the other copy has both", func() bool { return other.End() == 2 })
-	old, ok := other.Since(0)
+	old, ok := other.UpdateSince(0)
 	is.True(ok)
 	l.Put(part, "gone", nil)
 	f := follow(t, l, "f")
@@ -384,9 +384,9 @@
 	l.Put(part, "gone", nil)
 	fresh := follow(t, l, "fresh")
 	until.True(t, "the fresh copy is read", func() bool { return fresh.End() == 4 })
-	_, ok := fresh.Since(2)
+	_, ok := fresh.UpdateSince(2)
 	is.True(!ok)
-	older.MergePart(fresh.PartFrom(2))
+	older.MergeUpdate(fresh.CatchUpFrom(2))
 	is.Equal(older.End(), int64(4))
 	older.mu.Lock()
 	defer older.mu.Unlock()
@@ -401,7 +401,7 @@
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(part, "k", []byte("1"))
-	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, Slack: 100 * time.Millisecond, Pace: time.Minute})
+	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, MinInterval: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -416,6 +416,6 @@
 	time.Sleep(50 * time.Millisecond) // it rests
 	began := time.Now()
 	r.Refresh()
-	until.True(t, "it has asked again", func() bool { return r.AskedSince(began) })
+	until.True(t, "it has asked again", func() bool { return r.RefreshedSince(began) })
 	is.True(time.Since(began) < time.Second)
 }
--- a/router/routing/config.go
+++ b/router/routing/config.go
@@ -201,9 +201,9 @@
 // maxPriority is the least urgent priority of an engine.
 const maxPriority = 9
 
-// Rank is the priority of a request at an engine, 0 (first) to 9: the organisation's
+// RequestPriority is the priority of a request at an engine, 0 (first) to 9: the organisation's
 // priority goes before the route's.
-func (c *Config) Rank(organisation *Organisation, route *Route) int {
+func (c *Config) RequestPriority(organisation *Organisation, route *Route) int {
 	rank := route.Priority
 	if organisation != nil {
 		rank += organisation.Priority * (c.maxRank + 1)
@@ -211,8 +211,8 @@
 	return min(max(rank, 0), maxPriority)
 }
 
-// Pick chooses the service of a request; draw is a random number in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService chooses the service of a request; draw is a random number in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	if len(r.Split) == 0 {
 		return r.Service
 	}
--- a/router/routing/config_test.go
+++ b/router/routing/config_test.go
@@ -64,10 +64,10 @@
 	is := is.New(t)
 	c := parse(t, config)
 	urgent, late := c.Match("a.example", "/x/"), c.Match("a.example", "/x/y/")
-	is.Equal(c.Rank(c.Organisation("u"), urgent), 0)
-	is.Equal(c.Rank(c.Organisation("u"), late), 2)
-	is.Equal(c.Rank(c.Organisation("t"), urgent), 3) // the organisation's goes first
-	is.Equal(c.Rank(nil, late), 2)
+	is.Equal(c.RequestPriority(c.Organisation("u"), urgent), 0)
+	is.Equal(c.RequestPriority(c.Organisation("u"), late), 2)
+	is.Equal(c.RequestPriority(c.Organisation("t"), urgent), 3) // the organisation's goes first
+	is.Equal(c.RequestPriority(nil, late), 2)
 }
 
 func TestPickFollowsWeights(t *testing.T) {
@@ -75,12 +75,12 @@
 	r := Route{Split: []Weight{{"a", 90}, {"b", 10}, {"c", 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Pick(float64(i)/1000)]++
+		counts[r.PickService(float64(i)/1000)]++
 	}
 	is.Equal(counts["a"], 900)
 	is.Equal(counts["b"], 100)
 	plain := Route{Service: "d"}
-	is.Equal(plain.Pick(0.5), "d")
+	is.Equal(plain.PickService(0.5), "d")
 }
 
 func TestBadConfigurations(t *testing.T) {
--- a/router/routing/regions.go
+++ b/router/routing/regions.go
@@ -9,16 +9,16 @@
 // all of them; an empty list means none.
 type Regions []string
 
-// Has says whether a region is among them. A region that is not known, "", is only among all.
-func (r Regions) Has(region string) bool {
+// Contains says whether a region is among them. A region that is not known, "", is only among all.
+func (r Regions) Contains(region string) bool {
 	return r == nil || region != "" && slices.Contains(r, region)
 }
 
-// None says that the request may be served nowhere.
-func (r Regions) None() bool { return r != nil && len(r) == 0 }
+// Empty says that the request may be served nowhere.
+func (r Regions) Empty() bool { return r != nil && len(r) == 0 }
 
-// And gives the regions that both have.
-func (r Regions) And(o Regions) Regions {
+// Intersect gives the regions that both have.
+func (r Regions) Intersect(o Regions) Regions {
 	switch {
 	case r == nil:
 		return o
@@ -27,7 +27,7 @@
 	}
 	both := Regions{}
 	for _, region := range r {
-		if o.Has(region) {
+		if o.Contains(region) {
 			both = append(both, region)
 		}
 	}
@@ -60,7 +60,7 @@
 		regions = given(route.AllowedRegions)
 	}
 	if organisation != nil {
-		regions = regions.And(given(organisation.AllowedRegions))
+		regions = regions.Intersect(given(organisation.AllowedRegions))
 	}
 	return regions
 }
--- a/router/routing/regions_test.go
+++ b/router/routing/regions_test.go
@@ -21,17 +21,17 @@
 	is.Equal(c.Regions(two, nil), Regions{"north", "south"})
 	is.Equal(c.Regions(two, free), Regions{"north", "south"})
 	is.Equal(c.Regions(two, north), Regions{"north"}) // both
-	is.True(c.Regions(two, west).None())
+	is.True(c.Regions(two, west).Empty())
 	is.Equal(c.Regions(nil, west), Regions{"west"})
 }
 
 func TestUnknownRegionIsOnlyAmongAll(t *testing.T) {
 	is := is.New(t)
-	is.True(Regions(nil).Has(""))
-	is.True(!Regions{"north", ""}.Has(""))
-	is.True(!Regions{}.Has("north"))
-	is.True(Regions{}.None())
-	is.True(!Regions(nil).None())
+	is.True(Regions(nil).Contains(""))
+	is.True(!Regions{"north", ""}.Contains(""))
+	is.True(!Regions{}.Contains("north"))
+	is.True(Regions{}.Empty())
+	is.True(!Regions(nil).Empty())
 	is.Equal(Regions(nil).String(), "all")
 	is.Equal(Regions{"a", "b"}.String(), "a,b")
 }
--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -21,9 +21,9 @@
 
 // Figures of the watch.
 const (
-	// Least is the shortest suspension that is told. Shorter ones are within what beliefs
+	// MinSuspension is the shortest suspension that is told. Shorter ones are within what beliefs
 	// may be late anyhow, and two clocks are not read at the same instant.
-	Least = 300 * time.Millisecond
+	MinSuspension = 300 * time.Millisecond
 	// lookEvery is the pause between two looks, in running time: a host that wakes
 	// notices it so soon, or with its first request.
 	lookEvery = 200 * time.Millisecond
@@ -31,14 +31,14 @@
 
 // Clocks are the clocks that are compared.
 type Clocks struct {
-	Steady func() time.Duration // does not count a suspension
-	Boot   func() time.Duration // counts it
+	Monotonic func() time.Duration // does not count a suspension
+	Boot      func() time.Duration // counts it
 }
 
-// System gives the system's clocks.
-func System() Clocks {
+// SystemClocks gives the system's clocks.
+func SystemClocks() Clocks {
 	start := time.Now()
-	return Clocks{Steady: func() time.Duration { return time.Since(start) }, Boot: sinceBoot}
+	return Clocks{Monotonic: func() time.Duration { return time.Since(start) }, Boot: sinceBoot}
 }
 
 // sinceBoot reads the clock since boot, 0 if there is none.
@@ -50,8 +50,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// Watch notices suspensions.
-type Watch struct {
+// Detector notices suspensions.
+type Detector struct {
 	clocks Clocks
 	onWake func(lost time.Duration)
 	start  time.Time
@@ -65,25 +65,25 @@
 }
 
 // New makes a watch that calls onWake after each suspension, before whoever noticed it goes on.
-func New(clocks Clocks, onWake func(lost time.Duration)) *Watch {
-	return &Watch{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Steady()}
+func New(clocks Clocks, onWake func(lost time.Duration)) *Detector {
+	return &Detector{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Monotonic()}
 }
 
 // Run looks until ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Detector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.Look()
+		w.Check()
 		wait.For(ctx, lookEvery)
 	}
 }
 
-// Look compares the clocks.
-func (w *Watch) Look() {
+// Check compares the clocks.
+func (w *Detector) Check() {
 	w.mu.Lock()
-	steady := w.clocks.Steady()
+	steady := w.clocks.Monotonic()
 	ahead := w.clocks.Boot() - steady
 	lost := ahead - w.last
-	if lost < Least {
+	if lost < MinSuspension {
 		w.mu.Unlock()
 		return
 	}
@@ -93,27 +93,27 @@
 	w.onWake(lost)
 }
 
-// Arrived looks if a request's time suggests a suspension since the one before: the time of
+// RequestArrived looks if a request's time suggests a suspension since the one before: the time of
 // day went on further than the steady clock. That costs no call to the system, and a time of
 // day that was set is told from a suspension by the look.
-func (w *Watch) Arrived(now time.Time) {
+func (w *Detector) RequestArrived(now time.Time) {
 	steady := now.Sub(w.start)
 	w.arrived(now.Round(0).Sub(w.start.Round(0)) - steady)
 }
 
 // arrived is Arrived with how far the time of day is ahead of the steady clock.
-func (w *Watch) arrived(ahead time.Duration) {
+func (w *Detector) arrived(ahead time.Duration) {
 	w.mu.Lock()
 	jump := ahead - w.wallAhead
 	w.wallAhead = ahead
 	w.mu.Unlock()
-	if jump >= Least {
-		w.Look()
+	if jump >= MinSuspension {
+		w.Check()
 	}
 }
 
-// Lost is how long the host was suspended in all.
-func (w *Watch) Lost() time.Duration {
+// Total is how long the host was suspended in all.
+func (w *Detector) Total() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lost
--- a/router/target/choose_bench_test.go
+++ b/router/target/choose_bench_test.go
@@ -19,12 +19,12 @@
 				h.targets.Put(target.Entry{ID: fmt.Sprint("t", i), Service: "s", Address: "127.0.0.1:1", Slots: 64})
 			}
 			for i := range limited {
-				h.targets.LearnLimit(limit.Notice{Target: fmt.Sprint("t", i), PerSecond: 5, InForce: true})
+				h.targets.ApplyLimitNotice(limit.Notice{Target: fmt.Sprint("t", i), PerSecond: 5, InForce: true})
 			}
 			for b.Loop() {
-				c := h.targets.Choose(target.Want{Service: "s"})
-				h.targets.Begin(c, 0)
-				h.targets.End(c, 0, target.Succeeded)
+				c := h.targets.Choose(target.Requirements{Service: "s"})
+				h.targets.BeginRequest(c, 0)
+				h.targets.EndRequest(c, 0, target.Succeeded)
 			}
 		})
 	}
--- a/router/target/cold.go
+++ b/router/target/cold.go
@@ -12,7 +12,7 @@
 // ColdLimits is what a cold target of a service bears.
 type ColdLimits struct {
 	PerSecond float64       // requests from all hosts together, in any second; 0: any number
-	Lasts     time.Duration // from its start
+	Duration  time.Duration // from its start
 }
 
 // cold is what a host knows of a target's cold time.
@@ -21,8 +21,8 @@
 	share share
 }
 
-// SetCold takes over what cold targets of a service bear.
-func (r *Registry) SetCold(service string, limits ColdLimits) {
+// SetColdLimits takes over what cold targets of a service bear.
+func (r *Registry) SetColdLimits(service string, limits ColdLimits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.coldLimits[service] = limits
@@ -38,8 +38,8 @@
 // isCold says whether a target is cold, as far as its entries tell.
 func (t *Target) isCold(now time.Time) bool { return now.Before(t.cold.until) }
 
-// Cold says whether a target is cold.
-func (r *Registry) Cold(t *Target) bool {
+// IsCold says whether a target is cold.
+func (r *Registry) IsCold(t *Target) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return t.isCold(time.Now())
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -34,7 +34,7 @@
 func newHost(name string) *host {
 	h := &host{name: name, fleet: fleet.New(fleet.Options{Self: fleet.Host{Name: name}})}
 	h.targets = target.NewRegistry(target.Options{Elected: h.fleet.Elected})
-	h.targets.SetCold("s", target.ColdLimits{PerSecond: coldPerSecond})
+	h.targets.SetColdLimits("s", target.ColdLimits{PerSecond: coldPerSecond})
 	return h
 }
 
@@ -45,7 +45,7 @@
 		if err != nil {
 			panic(err)
 		}
-		h.fleet.Changed([]replica.Change{{Record: eventlog.Record{Key: o.name, Value: value}}})
+		h.fleet.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: o.name, Value: value}}})
 	}
 }
 
@@ -98,7 +98,7 @@
 		learn[h] = rand.IntN(60)
 	}
 	for _, h := range all {
-		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdLeft: 9500 * time.Millisecond})
+		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdRemaining: 9500 * time.Millisecond})
 	}
 	const step = 50 * time.Millisecond
 	var sent []time.Time
@@ -107,8 +107,8 @@
 			if learn[h] == i {
 				h.knows(fresh)
 			}
-			if c := h.targets.Choose(target.Want{Service: "s"}); c != nil {
-				h.targets.Begin(c, 0)
+			if c := h.targets.Choose(target.Requirements{Service: "s"}); c != nil {
+				h.targets.BeginRequest(c, 0)
 				sent = append(sent, time.Now())
 			}
 		}
@@ -123,10 +123,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHost("front-1")
-		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdLeft: time.Minute})
-		is.Equal(h.targets.Choose(target.Want{Service: "s"}), nil)
+		h.targets.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 48, ColdRemaining: time.Minute})
+		is.Equal(h.targets.Choose(target.Requirements{Service: "s"}), nil)
 		time.Sleep(7 * time.Second)
-		is.True(h.targets.Choose(target.Want{Service: "s"}) != nil)
+		is.True(h.targets.Choose(target.Requirements{Service: "s"}) != nil)
 	})
 }
 
@@ -134,22 +134,22 @@
 func TestLookingDoesNotCountAtAColdTarget(t *testing.T) {
 	is := is.New(t)
 	r := target.NewRegistry(target.Options{})
-	r.SetCold("s", target.ColdLimits{PerSecond: 1})
-	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
+	r.SetColdLimits("s", target.ColdLimits{PerSecond: 1})
+	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	for range 3 {
-		is.True(r.HasChoice(target.Want{Service: "s"}))
+		is.True(r.HasCandidate(target.Requirements{Service: "s"}))
 	}
-	is.True(r.Choose(target.Want{Service: "s"}) != nil)
-	is.True(!r.HasChoice(target.Want{Service: "s"}))
+	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
+	is.True(!r.HasCandidate(target.Requirements{Service: "s"}))
 }
 
 // A cold target whose entry lapsed is spared as well, though no other is left.
 func TestLeavingColdTargetIsSpared(t *testing.T) {
 	is := is.New(t)
-	r := target.NewRegistry(target.Options{DrainWithin: time.Minute})
-	r.SetCold("s", target.ColdLimits{PerSecond: 1})
-	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdLeft: time.Minute})
+	r := target.NewRegistry(target.Options{DrainLimit: time.Minute})
+	r.SetColdLimits("s", target.ColdLimits{PerSecond: 1})
+	r.Put(target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, ColdRemaining: time.Minute})
 	r.Remove("t")
-	is.True(r.Choose(target.Want{Service: "s"}) != nil)
-	is.Equal(r.Choose(target.Want{Service: "s"}), nil)
+	is.True(r.Choose(target.Requirements{Service: "s"}) != nil)
+	is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
 }
--- a/router/target/evacuate.go
+++ b/router/target/evacuate.go
@@ -59,7 +59,7 @@
 	now := time.Now()
 	for _, t := range r.targets {
 		if t.Domain == domain {
-			t.coolFor(r.coldLimits[t.Service].Lasts, now)
+			t.coolFor(r.coldLimits[t.Service].Duration, now)
 		}
 	}
 	r.logEvacuation("end of the evacuation of a failure domain", domain, 0)
@@ -78,8 +78,8 @@
 	}).Info(what)
 }
 
-// Evacuated counts the failure domains that are evacuated.
-func (r *Registry) Evacuated() int {
+// CountEvacuatedDomains counts the failure domains that are evacuated.
+func (r *Registry) CountEvacuatedDomains() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.evacuations)
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -77,8 +77,8 @@
 	return s
 }
 
-// Begin counts a request of so many prompt tokens that goes to a target.
-func (r *Registry) Begin(t *Target, work float64) {
+// BeginRequest counts a request of so many prompt tokens that goes to a target.
+func (r *Registry) BeginRequest(t *Target, work float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.outstanding == 0 {
@@ -89,15 +89,15 @@
 	r.statsOf(t.Service).notePrompt(work)
 }
 
-// Heard notes that the target sent something.
-func (t *Target) Heard(now time.Time) { t.heard.Store(now.UnixNano()) }
+// RecordActivity notes that the target sent something.
+func (t *Target) RecordActivity(now time.Time) { t.heard.Store(now.UnixNano()) }
 
-// BeginUnread notes that a stream waits for its caller to read, and not for the target.
-func (t *Target) BeginUnread() { t.unread.Add(1) }
+// BeginCallerWait notes that a stream waits for its caller to read, and not for the target.
+func (t *Target) BeginCallerWait() { t.unread.Add(1) }
 
-// EndUnread notes that the caller read.
-func (t *Target) EndUnread() {
-	t.Heard(time.Now())
+// EndCallerWait notes that the caller read.
+func (t *Target) EndCallerWait() {
+	t.RecordActivity(time.Now())
 	t.unread.Add(-1)
 }
 
@@ -118,8 +118,8 @@
 	return now.Sub(since) > quietTime
 }
 
-// Answered notes that the prompt was worked off, after a latency of its own.
-func (r *Registry) Answered(t *Target, work float64, latency time.Duration) {
+// RecordFirstByte notes that the prompt was worked off, after a latency of its own.
+func (r *Registry) RecordFirstByte(t *Target, work float64, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.work -= work
@@ -176,9 +176,9 @@
 	stats.latency, stats.latencyAt = all[(len(all)-1)/2], now
 }
 
-// End counts a request off again and takes in its result; work is that of Begin
+// EndRequest counts a request off again and takes in its result; work is that of Begin
 // if Answered was not called, else 0.
-func (r *Registry) End(t *Target, work float64, result Result) {
+func (r *Registry) EndRequest(t *Target, work float64, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.outstanding--
@@ -236,8 +236,8 @@
 	h.broken, h.samples, h.failures = 0, 0, h.failures/2
 }
 
-// DialFailed notes that no connection could be made.
-func (r *Registry) DialFailed(t *Target) {
+// RecordDialFailure notes that no connection could be made.
+func (r *Registry) RecordDialFailure(t *Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.health.broken++
--- a/router/target/limited.go
+++ b/router/target/limited.go
@@ -101,17 +101,17 @@
 // leastAsksAnew is how long a host without a share waits at least before it asks a target anew.
 const leastAsksAnew = 10 * time.Second
 
-// StateLimit takes over what an answer of a target says of its limit.
-func (r *Registry) StateLimit(t *Target, s limit.Statement) {
+// RecordLimit takes over what an answer of a target says of its limit.
+func (r *Registry) RecordLimit(t *Target, s limit.Advertisement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.limit.malformed = false
-	if !s.Named && !t.limit.inForce && !t.limit.news.posted.InForce {
+	if !s.HasLimit && !t.limit.inForce && !t.limit.news.posted.InForce {
 		return
 	}
 	now := time.Now()
 	switch {
-	case s.Named:
+	case s.HasLimit:
 		t.limit.byRefusals = s.Refusal && (t.limit.byRefusals || !t.limit.inForce)
 		t.limit.heard, t.limit.quiet, t.limit.raises = now, now, 0
 		r.putLimit(t, s.PerSecond, now)
@@ -172,7 +172,7 @@
 	Share     float64 // of it, that this host may send
 	Sent      uint64  // by this host since then
 	Since     time.Time
-	Told      bool // the log tells of it, as far as this host has read it
+	Published bool // the log tells of it, as far as this host has read it
 }
 
 // Limits lists the targets that name a limit.
@@ -185,7 +185,7 @@
 			continue
 		}
 		s := LimitStatus{Target: t.ID, Service: t.Service, PerSecond: t.limit.perSecond, Sent: t.limit.sent, Since: t.limit.since,
-			Told: t.limit.news.posted.InForce}
+			Published: t.limit.news.posted.InForce}
 		if t.limit.share.self {
 			s.Share = 1 / t.limit.share.pause.Seconds()
 		}
@@ -194,9 +194,9 @@
 	return list
 }
 
-// MalformedLimit logs that an answer of a target named a limit that can't be read. It changes
+// RecordMalformedLimit logs that an answer of a target named a limit that can't be read. It changes
 // nothing: it tells neither of a limit nor of the end of one.
-func (r *Registry) MalformedLimit(t *Target, err error) {
+func (r *Registry) RecordMalformedLimit(t *Target, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !t.limit.malformed {
--- a/router/target/limited_test.go
+++ b/router/target/limited_test.go
@@ -119,18 +119,18 @@
 }
 
 // chosenIn counts how often the only target of a service is chosen in a time.
-func chosenIn(r *target.Registry, d time.Duration, said limit.Statement) (n int) {
+func chosenIn(r *target.Registry, d time.Duration, said limit.Advertisement) (n int) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if t := r.Choose(target.Want{Service: "s"}); t != nil {
+		if t := r.Choose(target.Requirements{Service: "s"}); t != nil {
 			n++
-			r.StateLimit(t, said)
+			r.RecordLimit(t, said)
 		}
 	}
 	return n
 }
 
-func named(perSecond float64) limit.Statement {
-	return limit.Statement{Named: true, PerSecond: perSecond}
+func named(perSecond float64) limit.Advertisement {
+	return limit.Advertisement{HasLimit: true, PerSecond: perSecond}
 }
 
 // Guards against a limit of zero that is taken for none, or after which a target gets nothing for good.
@@ -141,7 +141,7 @@
 		chosenIn(r, 100*time.Millisecond, named(0))
 		n := chosenIn(r, time.Minute, named(0))
 		is.True(n >= 1 && n <= 6) // to hear of its end
-		is.True(chosenIn(r, 20*time.Second, limit.Statement{}) > 50)
+		is.True(chosenIn(r, 20*time.Second, limit.Advertisement{}) > 50)
 	})
 }
 
@@ -176,16 +176,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := target.NewRegistry(target.Options{})
-		entry := target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, Born: time.Now()}
+		entry := target.Entry{ID: "t", Service: "s", Address: "127.0.0.1:1", Slots: 4, StartedAt: time.Now()}
 		r.Put(entry)
-		old := limit.Notice{Target: "t", Born: entry.Born.UnixMilli(), PerSecond: 1, InForce: true}
-		r.LearnLimit(old)
+		old := limit.Notice{Target: "t", StartedAt: entry.StartedAt.UnixMilli(), PerSecond: 1, InForce: true}
+		r.ApplyLimitNotice(old)
 		is.Equal(len(r.Limits()), 1)
 		time.Sleep(time.Second)
-		entry.Born = time.Now()
+		entry.StartedAt = time.Now()
 		r.Put(entry)
 		is.Equal(len(r.Limits()), 0)
-		r.LearnLimit(old)
+		r.ApplyLimitNotice(old)
 		is.Equal(len(r.Limits()), 0)
 	})
 }
@@ -196,11 +196,11 @@
 		is := is.New(t)
 		r := newLimited("here")
 		for _, id := range []string{"here", "gone"} {
-			r.LearnLimit(limit.Notice{Target: id, PerSecond: 1, InForce: true})
+			r.ApplyLimitNotice(limit.Notice{Target: id, PerSecond: 1, InForce: true})
 		}
 		var deleted []limit.Notice
 		for range 60 {
-			deleted = append(deleted, r.LimitNotices(time.Now())...)
+			deleted = append(deleted, r.DueLimitNotices(time.Now())...)
 			time.Sleep(time.Second)
 		}
 		is.Equal(deleted, []limit.Notice{{Target: "gone"}})
@@ -234,15 +234,15 @@
 		is := is.New(t)
 		r := newLimited("t0", "t1", "t2", "t3")
 		for range 4 { // each names 5 a second
-			r.StateLimit(r.Choose(target.Want{Service: "s"}), named(5))
+			r.RecordLimit(r.Choose(target.Requirements{Service: "s"}), named(5))
 		}
 		asked, served := map[int]int{}, map[int]int{}
 		for range 6000 { // a minute: 10 urgent requests a second, 30 and 30 others
 			rank := []int{0, 3, 7}[weighted(10, 30, 30)]
 			asked[rank]++
-			if c := r.Choose(target.Want{Service: "s", Rank: rank}); c != nil {
+			if c := r.Choose(target.Requirements{Service: "s", Priority: rank}); c != nil {
 				served[rank]++
-				r.StateLimit(c, named(5))
+				r.RecordLimit(c, named(5))
 			}
 			time.Sleep(time.Second * 60 / 6000 * 100 / 70)
 		}
@@ -276,19 +276,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newLimited("t")
-		r.StateLimit(r.Choose(target.Want{Service: "s"}), named(2))
+		r.RecordLimit(r.Choose(target.Requirements{Service: "s"}), named(2))
 		var last time.Duration
 		for range 5 {
-			is.Equal(r.Choose(target.Want{Service: "s"}), nil)
-			full, ok := r.FullFor(target.Want{Service: "s"})
+			is.Equal(r.Choose(target.Requirements{Service: "s"}), nil)
+			full, ok := r.LimitsExhaustedFor(target.Requirements{Service: "s"})
 			is.True(ok)
-			is.True(full.After >= last+400*time.Millisecond)
-			last = full.After
+			is.True(full.RetryAfter >= last+400*time.Millisecond)
+			last = full.RetryAfter
 		}
-		urgent, _ := r.FullFor(target.Want{Service: "s", Rank: 0})
-		later, _ := r.FullFor(target.Want{Service: "s", Rank: 5})
-		is.True(urgent.After > 0 && later.After > 0)
-		_, other := r.FullFor(target.Want{Service: "other"})
+		urgent, _ := r.LimitsExhaustedFor(target.Requirements{Service: "s", Priority: 0})
+		later, _ := r.LimitsExhaustedFor(target.Requirements{Service: "s", Priority: 5})
+		is.True(urgent.RetryAfter > 0 && later.RetryAfter > 0)
+		_, other := r.LimitsExhaustedFor(target.Requirements{Service: "other"})
 		is.True(!other)
 	})
 }
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -47,9 +47,9 @@
 	perHost float64 // requests a second at each host
 	answers []pendingAnswer
 	topic   []topicRecord
-	want    target.Want
-	refused []target.Full // what requests that found no target were told
-	told    time.Time     // when all hosts were told of each other
+	want    target.Requirements
+	refused []target.LimitsExhausted // what requests that found no target were told
+	told    time.Time                // when all hosts were told of each other
 	served  int
 	stop    context.Context
 }
@@ -74,7 +74,7 @@
 // limitedTarget is a target and what it got.
 type limitedTarget struct {
 	id      string
-	said    limit.Statement
+	said    limit.Advertisement
 	onlyIn  bool // it names its limit in refusals only, which it gives beyond its limit
 	sends   []limitedSend
 	windows []limitWindow
@@ -98,7 +98,7 @@
 	host   *limitHost
 	target *limitedTarget
 	entry  *target.Target
-	said   limit.Statement
+	said   limit.Advertisement
 }
 
 // acceptingLog takes all announcements.
@@ -111,7 +111,7 @@
 func newLimitFleet(t *testing.T, seed uint64, hostCount, targetCount int, perHost float64) *limitFleet {
 	stop, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	f := &limitFleet{random: rand.New(rand.NewPCG(seed, 1)), perHost: perHost, stop: stop, want: target.Want{Service: "s"}}
+	f := &limitFleet{random: rand.New(rand.NewPCG(seed, 1)), perHost: perHost, stop: stop, want: target.Requirements{Service: "s"}}
 	for i := range targetCount {
 		f.targets = append(f.targets, &limitedTarget{id: fmt.Sprintf("t%d", i)})
 	}
@@ -128,7 +128,7 @@
 
 func (f *limitFleet) newHost(name string) *limitHost {
 	h := &host{name: name, fleet: fleet.New(fleet.Options{
-		Self: fleet.Host{Name: name}, Log: acceptingLog{}, Announce: 8 * time.Second, Pull: time.Minute, Timeout: time.Second,
+		Self: fleet.Host{Name: name}, Log: acceptingLog{}, AnnounceInterval: 8 * time.Second, PullInterval: time.Minute, CallTimeout: time.Second,
 	})}
 	go h.fleet.Run(f.stop)
 	h.targets = target.NewRegistry(target.Options{Elected: h.fleet.Elected, Hosts: h.fleet.Size})
@@ -155,7 +155,7 @@
 	}
 	for _, h := range f.hosts {
 		if !h.cut && !h.down {
-			h.fleet.Changed(changes)
+			h.fleet.HandleChanges(changes)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 // name lets a target name a limit from now on.
 func (f *limitFleet) name(t *limitedTarget, perSecond float64) {
 	f.unname(t)
-	t.said = limit.Statement{Named: true, PerSecond: perSecond}
+	t.said = limit.Advertisement{HasLimit: true, PerSecond: perSecond}
 	t.windows = append(t.windows, limitWindow{from: time.Now(), perSecond: perSecond, changed: len(t.windows) > 0})
 }
 
@@ -172,7 +172,7 @@
 	if n := len(t.windows); n > 0 && t.windows[n-1].to.IsZero() {
 		t.windows[n-1].to = time.Now()
 	}
-	t.said = limit.Statement{}
+	t.said = limit.Advertisement{}
 }
 
 // run lets callers ask for a while.
@@ -204,7 +204,7 @@
 	}
 	if !now.Before(h.looks) {
 		h.looks = now.Add(noticeLook)
-		for _, n := range h.targets.LimitNotices(now) {
+		for _, n := range h.targets.DueLimitNotices(now) {
 			rec, err := n.Record()
 			if err != nil {
 				panic(err)
@@ -221,7 +221,7 @@
 		if !ok || err != nil {
 			panic(err)
 		}
-		h.targets.LearnLimit(n)
+		h.targets.ApplyLimitNotice(n)
 	}
 }
 
@@ -239,9 +239,9 @@
 		if a.said.Refusal {
 			result = target.Refused
 		}
-		a.host.targets.StateLimit(a.entry, a.said)
-		a.host.targets.End(a.entry, 0, result)
-		if _, had := a.host.told[a.target]; a.said.Named && !had {
+		a.host.targets.RecordLimit(a.entry, a.said)
+		a.host.targets.EndRequest(a.entry, 0, result)
+		if _, had := a.host.told[a.target]; a.said.HasLimit && !had {
 			a.host.told[a.target] = now
 		}
 	}
@@ -252,13 +252,13 @@
 func (f *limitFleet) ask(h *limitHost) {
 	chosen := h.targets.Choose(f.want)
 	if chosen == nil {
-		full, _ := h.targets.FullFor(f.want)
+		full, _ := h.targets.LimitsExhaustedFor(f.want)
 		f.refused = append(f.refused, full)
 		return
 	}
 	f.served++
 	now := time.Now()
-	h.targets.Begin(chosen, 0)
+	h.targets.BeginRequest(chosen, 0)
 	t := f.targetOf(chosen.ID)
 	since, told := h.told[t]
 	t.sends = append(t.sends, limitedSend{at: now, told: told && !h.cut && now.Sub(h.since) >= inTouchAfter && now.Sub(since) >= toldFor})
@@ -266,16 +266,16 @@
 }
 
 // answer is what a target says of its limit as it answers a request.
-func (t *limitedTarget) answer(now time.Time) limit.Statement {
-	if !t.onlyIn || !t.said.Named {
+func (t *limitedTarget) answer(now time.Time) limit.Advertisement {
+	if !t.onlyIn || !t.said.HasLimit {
 		return t.said
 	}
 	t.recent = slices.DeleteFunc(t.recent, func(at time.Time) bool { return now.Sub(at) >= time.Second })
 	if float64(len(t.recent)) < max(t.said.PerSecond, 1) {
 		t.recent = append(t.recent, now)
-		return limit.Statement{}
+		return limit.Advertisement{}
 	}
-	return limit.Statement{Named: true, PerSecond: t.said.PerSecond, Refusal: true}
+	return limit.Advertisement{HasLimit: true, PerSecond: t.said.PerSecond, Refusal: true}
 }
 
 func (f *limitFleet) targetOf(id string) *limitedTarget {
--- a/router/target/limitnews.go
+++ b/router/target/limitnews.go
@@ -44,7 +44,7 @@
 
 // notice is what this host knows of a target's limit.
 func (t *Target) notice() limit.Notice {
-	n := limit.Notice{Target: t.ID, Born: t.life.Born, InForce: t.limit.inForce}
+	n := limit.Notice{Target: t.ID, StartedAt: t.life.StartedAt, InForce: t.limit.inForce}
 	if n.InForce {
 		n.PerSecond, n.ByRefusals, n.Raises = t.limit.perSecond, t.limit.byRefusals, t.limit.raises
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// LimitNotices lists what this host is to write to the log about limits by now.
-func (r *Registry) LimitNotices(now time.Time) []limit.Notice {
+// DueLimitNotices lists what this host is to write to the log about limits by now.
+func (r *Registry) DueLimitNotices(now time.Time) []limit.Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []limit.Notice
@@ -132,11 +132,11 @@
 
 // tellsOf says whether a notice tells of this life of a target.
 func (p *posted) tellsOf(t *Target) bool {
-	return !t.life.another(Incarnation{ID: p.Target, Born: p.Born})
+	return !t.life.another(Incarnation{ID: p.Target, StartedAt: p.StartedAt})
 }
 
-// LearnLimit takes over a notice of the log.
-func (r *Registry) LearnLimit(n limit.Notice) {
+// ApplyLimitNotice takes over a notice of the log.
+func (r *Registry) ApplyLimitNotice(n limit.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n.InForce {
--- a/router/target/ration.go
+++ b/router/target/ration.go
@@ -27,7 +27,7 @@
 	line [ranks]time.Time // when the last request that was turned away may come back
 }
 
-func rankOf(w Want) int { return min(max(w.Rank, 0), ranks-1) }
+func rankOf(w Requirements) int { return min(max(w.Priority, 0), ranks-1) }
 
 // note counts a request.
 func (q *ration) note(rank int, now time.Time) {
@@ -78,7 +78,7 @@
 
 // rationed says whether a request has to give way to more urgent ones, since all targets that may take
 // it name limits. The lock is held.
-func (r *Registry) rationed(w Want, usable []*Target, now time.Time) bool {
+func (r *Registry) rationed(w Requirements, usable []*Target, now time.Time) bool {
 	for _, t := range usable {
 		if !t.limit.inForce {
 			return false
@@ -95,7 +95,7 @@
 
 // allLimited says whether there are ready targets that a request may go to, and all of them name
 // limits. The lock is held.
-func (r *Registry) allLimited(w Want, now time.Time) bool {
+func (r *Registry) allLimited(w Requirements, now time.Time) bool {
 	limited := false
 	for _, t := range r.services[w.Service] {
 		if !t.listed || t.state != Ready || !r.mayServe(w, t, now) {
@@ -133,15 +133,15 @@
 	return own, all
 }
 
-// Full is why no target takes a request: those that could name limits, and this host's part of these
+// LimitsExhausted is why no target takes a request: those that could name limits, and this host's part of these
 // is used up.
-type Full struct {
-	After time.Duration // when a place is likely to be free
-	Share bool          // this host has a part
+type LimitsExhausted struct {
+	RetryAfter time.Duration // when a place is likely to be free
+	HasShare   bool          // this host has a part
 }
 
-// FullFor says whether a request finds no target since those that could take it name limits.
-func (r *Registry) FullFor(w Want) (f Full, full bool) {
+// LimitsExhaustedFor says whether a request finds no target since those that could take it name limits.
+func (r *Registry) LimitsExhaustedFor(w Requirements) (f LimitsExhausted, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -149,17 +149,17 @@
 		return f, false
 	}
 	own, all := r.places(w.Service)
-	f.Share = own > 0
-	if !f.Share {
+	f.HasShare = own > 0
+	if !f.HasShare {
 		own = all / float64(max(r.opts.Hosts(), 1))
 	}
-	f.After = r.rationOf(w.Service).comeBack(rankOf(w), own, now)
+	f.RetryAfter = r.rationOf(w.Service).comeBack(rankOf(w), own, now)
 	return f, true
 }
 
-// HasPlaces says whether this host may send requests, though not now, where all targets that could
+// HasLimitShare says whether this host may send requests, though not now, where all targets that could
 // take one name limits.
-func (r *Registry) HasPlaces(w Want) bool {
+func (r *Registry) HasLimitShare(w Requirements) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own, _ := r.places(w.Service)
--- a/router/target/slow_test.go
+++ b/router/target/slow_test.go
@@ -12,12 +12,12 @@
 func oneCaller(r *Registry, span time.Duration, latency func(id string) time.Duration) map[string]int {
 	got := map[string]int{}
 	for end := time.Now().Add(span); time.Now().Before(end); {
-		t := r.Choose(Want{Service: "s"})
-		r.Begin(t, 0)
+		t := r.Choose(Requirements{Service: "s"})
+		r.BeginRequest(t, 0)
 		took := latency(t.ID)
 		time.Sleep(took)
-		r.Answered(t, 0, took)
-		r.End(t, 0, Succeeded)
+		r.RecordFirstByte(t, 0, took)
+		r.EndRequest(t, 0, Succeeded)
 		got[t.ID]++
 		time.Sleep(max(100*time.Millisecond-took, 0))
 	}
--- a/router/target/stall.go
+++ b/router/target/stall.go
@@ -47,14 +47,14 @@
 
 // isLong says whether a request's prompt is much longer than others of its service; the
 // lock is held.
-func (r *Registry) isLong(w Want) bool {
+func (r *Registry) isLong(w Requirements) bool {
 	mean := r.statsOf(w.Service).prompt
-	return mean > 0 && w.Work > longPrompt*mean
+	return mean > 0 && w.PromptTokens > longPrompt*mean
 }
 
-// Paused notes the time between two events of a stream of a target, and the longest that
+// RecordGap notes the time between two events of a stream of a target, and the longest that
 // its route allows; 0: any.
-func (r *Registry) Paused(t *Target, gap, allowed time.Duration) {
+func (r *Registry) RecordGap(t *Target, gap, allowed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.stall.note(gap.Seconds())
--- a/router/target/stall_test.go
+++ b/router/target/stall_test.go
@@ -13,15 +13,15 @@
 // streams gives every target a pace: so many events, each so long after the one before.
 func streams(r *Registry, t *Target, gap time.Duration) {
 	for range 200 {
-		r.Paused(t, gap, 300*ms)
+		r.RecordGap(t, gap, 300*ms)
 	}
 }
 
 // prompts makes the mean prompt of the service about 1,000 tokens.
 func prompts(r *Registry, t *Target) {
 	for range 100 {
-		r.Begin(t, 1000)
-		r.End(t, 1000, Abandoned)
+		r.BeginRequest(t, 1000)
+		r.EndRequest(t, 1000, Abandoned)
 	}
 }
 
@@ -41,13 +41,13 @@
 	asked := func(work float64) map[*Target]bool {
 		chosen := map[*Target]bool{}
 		for i := range 200 {
-			chosen[r.Choose(Want{Service: "s", Work: work, Affinity: fmt.Sprint(i)})] = true
+			chosen[r.Choose(Requirements{Service: "s", PromptTokens: work, Affinity: fmt.Sprint(i)})] = true
 		}
 		return chosen
 	}
 	is.True(asked(9000)[slow]) // slower, but nobody was kept waiting
-	r.Paused(slow, 310*ms, 300*ms)
-	r.Paused(fast, 310*ms, 300*ms)
+	r.RecordGap(slow, 310*ms, 300*ms)
+	r.RecordGap(fast, 310*ms, 300*ms)
 	is.True(!asked(9000)[slow])
 	is.True(asked(9000)[fast]) // it stalled by chance: it is as fast as most
 	is.True(asked(900)[slow])  // short prompts stall nobody
@@ -67,9 +67,9 @@
 	streams(r, all[0], 30*ms)
 	streams(r, all[1], 20*ms)
 	streams(r, all[2], 20*ms)
-	r.Paused(all[0], 310*ms, 300*ms)
+	r.RecordGap(all[0], 310*ms, 300*ms)
 	others := map[string]bool{all[1].ID: true, all[2].ID: true}
-	is.Equal(r.Choose(Want{Service: "s", Work: 9000, Exclude: others}), all[0])
+	is.Equal(r.Choose(Requirements{Service: "s", PromptTokens: 9000, Exclude: others}), all[0])
 }
 
 // BenchmarkChoose measures the choice of a target for a long prompt with affinity.
@@ -83,7 +83,7 @@
 			prompts(r, r.services["s"][0])
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r.Choose(Want{Service: "s", Work: 9000, Affinity: "5c1e07a2,91bd3f06"})
+				r.Choose(Requirements{Service: "s", PromptTokens: 9000, Affinity: "5c1e07a2,91bd3f06"})
 			}
 		})
 	}
--- a/router/target/target.go
+++ b/router/target/target.go
@@ -9,7 +9,7 @@
 
 	log "github.com/sirupsen/logrus"
 
-	"maststage.dev/router/exchange"
+	"maststage.dev/router/httpconn"
 	"maststage.dev/router/logging"
 )
 
@@ -21,7 +21,7 @@
 	Address string
 	Domain  string
 	Version string // of its software
-	Pool    *exchange.Pool
+	Pool    *httpconn.Pool
 
 	slots  int
 	life   Incarnation
@@ -51,7 +51,7 @@
 	Domain string // of this host
 	// Regions are those of the failure domains. What is not there is in no known region.
 	Regions     map[string]string
-	DrainWithin time.Duration // a leaving target gets no request later than this
+	DrainLimit  time.Duration // a leaving target gets no request later than this
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
 	MaxIdle     int
@@ -123,12 +123,12 @@
 		t = r.add(e)
 		log.WithFields(log.Fields{"target": e.Incarnation(), "service": e.Service, "address": e.Address, "domain": e.Domain, "version": e.Version}).Info("target listed")
 	}
-	if !e.Born.IsZero() {
+	if !e.StartedAt.IsZero() {
 		t.life = e.Incarnation()
 	}
 	t.slots = max(e.Slots, 1)
-	if e.ColdLeft > 0 {
-		t.coolFor(e.ColdLeft, now)
+	if e.ColdRemaining > 0 {
+		t.coolFor(e.ColdRemaining, now)
 	}
 	r.setState(t, true, e.State, now)
 }
@@ -162,7 +162,7 @@
 		t.leaves(now)
 	case t.leftAt.IsZero():
 		// First seen as it leaves: since when is not known, so it is no last resort.
-		t.leaves(now.Add(-r.opts.DrainWithin))
+		t.leaves(now.Add(-r.opts.DrainLimit))
 	}
 }
 
@@ -175,9 +175,9 @@
 func (r *Registry) add(e Entry) *Target {
 	t := &Target{
 		ID: e.ID, Service: e.Service, Address: e.Address, Domain: e.Domain, Version: e.Version, slots: max(e.Slots, 1), life: e.Incarnation(),
-		Pool: exchange.NewPool(exchange.Options{
+		Pool: httpconn.NewPool(httpconn.Options{
 			Address: e.Address, DialTimeout: r.opts.DialTimeout, IdleTimeout: r.opts.IdleTimeout,
-			MaxIdle: r.opts.MaxIdle, UserTimeout: r.opts.UserTimeout, OnDial: r.opts.OnDial,
+			MaxIdle: r.opts.MaxIdle, TCPUserTimeout: r.opts.UserTimeout, OnDial: r.opts.OnDial,
 		}),
 	}
 	t.Pool.SetLimit(r.maxConns[e.Service])
@@ -221,11 +221,11 @@
 	r.opts.Regions = regions
 }
 
-// SetDrainWithin changes how long a leaving target may still be chosen.
-func (r *Registry) SetDrainWithin(d time.Duration) {
+// SetDrainLimit changes how long a leaving target may still be chosen.
+func (r *Registry) SetDrainLimit(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.opts.DrainWithin = d
+	r.opts.DrainLimit = d
 }
 
 // forgetAfter is how long a target that left is remembered.
@@ -236,8 +236,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.targets {
-		t.Pool.Sweep(now)
-		if !t.leftAt.IsZero() && now.Sub(t.leftAt) > r.opts.DrainWithin {
+		t.Pool.CloseExpired(now)
+		if !t.leftAt.IsZero() && now.Sub(t.leftAt) > r.opts.DrainLimit {
 			t.Pool.Close()
 		}
 		if !t.listed && t.outstanding == 0 && now.Sub(t.leftAt) > forgetAfter {
@@ -256,8 +256,8 @@
 	}
 }
 
-// Count tells how many targets of a service are ready.
-func (r *Registry) Count(service string) (ready int) {
+// CountReady tells how many targets of a service are ready.
+func (r *Registry) CountReady(service string) (ready int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.services[service] {
@@ -268,8 +268,8 @@
 	return ready
 }
 
-// Versions counts the ready targets of a service by version.
-func (r *Registry) Versions(service string) map[string]int {
+// CountReadyByVersion counts the ready targets of a service by version.
+func (r *Registry) CountReadyByVersion(service string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	versions := map[string]int{}
@@ -281,8 +281,8 @@
 	return versions
 }
 
-// Total counts the ready targets of all services.
-func (r *Registry) Total() (ready int) {
+// TotalReady counts the ready targets of all services.
+func (r *Registry) TotalReady() (ready int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.targets {
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -28,19 +28,19 @@
 	lookEvery = 500 * time.Millisecond
 )
 
-// Book knows the answers under way and which of them wait for their callers.
-type Book struct {
+// Tracker knows the answers under way and which of them wait for their callers.
+type Tracker struct {
 	most  int64 // bytes
 	onCut func()
 	held  atomic.Int64 // for those that wait, and reserved
 
 	mu      sync.Mutex
-	answers map[*Answer]struct{}
+	answers map[*Response]struct{}
 }
 
-// Answer is one that is passed to its caller, piece by piece.
-type Answer struct {
-	book *Book
+// Response is one that is passed to its caller, piece by piece.
+type Response struct {
+	book *Tracker
 	cut  func()
 
 	mu    sync.Mutex
@@ -49,36 +49,36 @@
 }
 
 // New makes a book that allows so many bytes; onCut is told of each caller that is cut.
-func New(most int64, onCut func()) *Book {
-	return &Book{most: most, onCut: onCut, answers: map[*Answer]struct{}{}}
+func New(most int64, onCut func()) *Tracker {
+	return &Tracker{most: most, onCut: onCut, answers: map[*Response]struct{}{}}
 }
 
-// Open notes an answer; cut ends it and must not block.
-func (b *Book) Open(cut func()) *Answer {
-	a := &Answer{book: b, cut: cut}
+// Track notes an answer; cut ends it and must not block.
+func (b *Tracker) Track(cut func()) *Response {
+	a := &Response{book: b, cut: cut}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answers[a] = struct{}{}
 	return a
 }
 
-// Close forgets an answer.
-func (b *Book) Close(a *Answer) {
+// Untrack forgets an answer.
+func (b *Tracker) Untrack(a *Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.answers, a)
 }
 
-// Pass notes that the caller is passed a piece while so many bytes are held for it.
-func (a *Answer) Pass(bytes int64, now time.Time) {
+// BeginWrite notes that the caller is passed a piece while so many bytes are held for it.
+func (a *Response) BeginWrite(bytes int64, now time.Time) {
 	a.mu.Lock()
 	a.since, a.bytes = now, bytes
 	a.mu.Unlock()
 	a.book.held.Add(bytes)
 }
 
-// Taken notes that the caller took the piece, or is gone.
-func (a *Answer) Taken() {
+// EndWrite notes that the caller took the piece, or is gone.
+func (a *Response) EndWrite() {
 	a.mu.Lock()
 	a.since = time.Time{}
 	a.mu.Unlock()
@@ -87,7 +87,7 @@
 
 // unread says since when the caller has taken nothing, and what is held for it; ok is false
 // if it took all.
-func (a *Answer) unread() (since time.Time, bytes int64, ok bool) {
+func (a *Response) unread() (since time.Time, bytes int64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.since, a.bytes, !a.since.IsZero()
@@ -95,7 +95,7 @@
 
 // cutIfWaiting cuts the caller unless it took the piece in the meantime: its connection may
 // carry the next one by then.
-func (a *Answer) cutIfWaiting(since time.Time) (cut bool) {
+func (a *Response) cutIfWaiting(since time.Time) (cut bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.since.Equal(since) {
@@ -110,7 +110,7 @@
 
 // Reserve sets so many bytes aside for an answer that is to be held whole, until Unreserve. It
 // says whether there is room: what comes within leastWait is bounded by nothing else.
-func (b *Book) Reserve(bytes int64) bool {
+func (b *Tracker) Reserve(bytes int64) bool {
 	if float64(b.held.Add(bytes)) <= wholePart*float64(b.most) {
 		return true
 	}
@@ -118,11 +118,11 @@
 	return false
 }
 
-// Unreserve ends a Reserve of so many bytes.
-func (b *Book) Unreserve(bytes int64) { b.held.Add(-bytes) }
+// Release ends a Reserve of so many bytes.
+func (b *Tracker) Release(bytes int64) { b.held.Add(-bytes) }
 
 // Run looks at who waits until ctx ends.
-func (b *Book) Run(ctx context.Context) {
+func (b *Tracker) Run(ctx context.Context) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -137,7 +137,7 @@
 
 // waiting is an answer that waits.
 type waiting struct {
-	answer *Answer
+	answer *Response
 	since  time.Time
 	waited time.Duration
 	bytes  int64
@@ -145,7 +145,7 @@
 
 // look cuts callers that have waited for too long, and where all that is held is too much
 // those that have waited longest: they have taken nothing for the longest time.
-func (b *Book) look(now time.Time) {
+func (b *Tracker) look(now time.Time) {
 	waits, held := b.waits(now)
 	for _, w := range waits {
 		if w.waited < leastWait || held <= b.most && w.waited < patience {
@@ -158,13 +158,13 @@
 		log.WithFields(log.Fields{
 			"bytes": w.bytes, "waited": w.waited.Round(time.Millisecond), "held": held, "waiting": len(waits),
 		}).Warn("caller cut that does not read its answer")
-		b.Close(w.answer)
+		b.Untrack(w.answer)
 		b.onCut()
 	}
 }
 
 // waits lists who waits, the longest first, and sums what is held for them.
-func (b *Book) waits(now time.Time) (list []waiting, held int64) {
+func (b *Tracker) waits(now time.Time) (list []waiting, held int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for a := range b.answers {
@@ -178,4 +178,4 @@
 }
 
 // Held is how many bytes are held for callers that have yet to take them, or reserved.
-func (b *Book) Held() int64 { return b.held.Load() }
+func (b *Tracker) Held() int64 { return b.held.Load() }
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -24,16 +24,16 @@
 	b := New(most, func() { cuts++ })
 	random := rand.New(rand.NewPCG(1, 2))
 	type slow struct {
-		answer *Answer
+		answer *Response
 		ends   time.Time
 	}
 	var reading []slow
 	begin := time.Now()
 	for now := begin; now.Sub(begin) < 10*time.Minute; now = now.Add(lookEvery) {
 		for range each * int(lookEvery) / int(time.Second) {
-			b.Open(func() {}).Pass(answer, now) // stops for good
-			a := b.Open(func() { t.Error("a caller that reads was cut") })
-			a.Pass(answer, now)
+			b.Track(func() {}).BeginWrite(answer, now) // stops for good
+			a := b.Track(func() { t.Error("a caller that reads was cut") })
+			a.BeginWrite(answer, now)
 			reading = append(reading, slow{a, now.Add(time.Duration(random.Int64N(int64(leastWait))))})
 		}
 		left := reading[:0]
@@ -42,8 +42,8 @@
 				left = append(left, r)
 				continue
 			}
-			r.answer.Taken()
-			b.Close(r.answer)
+			r.answer.EndWrite()
+			b.Untrack(r.answer)
 		}
 		reading = left
 		b.look(now)
@@ -62,15 +62,15 @@
 	var cut []string
 	b := New(100, func() {})
 	now := time.Now()
-	pass := func(name string) *Answer {
-		a := b.Open(func() { cut = append(cut, name) })
-		a.Pass(50, now)
+	pass := func(name string) *Response {
+		a := b.Track(func() { cut = append(cut, name) })
+		a.BeginWrite(50, now)
 		return a
 	}
 	pass("first")
 	now = now.Add(time.Second)
 	pass("second")
-	pass("third").Taken()
+	pass("third").EndWrite()
 	pass("fourth")
 	b.look(now)
 	is.Equal(cut, nil) // nobody has waited for long
@@ -86,11 +86,11 @@
 	is := is.New(t)
 	b := New(100, func() {})
 	now := time.Now()
-	a := b.Open(func() { t.Error("cut") })
-	a.Pass(50, now)
+	a := b.Track(func() { t.Error("cut") })
+	a.BeginWrite(50, now)
 	waits, _ := b.waits(now.Add(patience))
-	a.Taken()
-	a.Pass(50, now.Add(patience))
+	a.EndWrite()
+	a.BeginWrite(50, now.Add(patience))
 	is.True(!waits[0].answer.cutIfWaiting(waits[0].since))
 }
 
@@ -99,14 +99,14 @@
 func TestReserve(t *testing.T) {
 	is := is.New(t)
 	b := New(100, func() {})
-	a := b.Open(func() {})
-	a.Pass(20, time.Now())
+	a := b.Track(func() {})
+	a.BeginWrite(20, time.Now())
 	is.True(b.Reserve(30))
 	is.True(!b.Reserve(1))
-	b.Unreserve(30)
-	a.Taken()
+	b.Release(30)
+	a.EndWrite()
 	is.True(b.Reserve(50))
-	b.Unreserve(50)
+	b.Release(50)
 	is.Equal(b.Held(), int64(0))
 }
 
@@ -116,7 +116,7 @@
 	cuts := 0
 	b := New(1000, func() { cuts++ })
 	now := time.Now()
-	b.Open(func() {}).Pass(100, now)
+	b.Track(func() {}).BeginWrite(100, now)
 	b.look(now.Add(patience - time.Second))
 	is.Equal(cuts, 0)
 	b.look(now.Add(patience))
