--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -1,9 +1,10 @@
-// Package unread bounds what a host holds for callers that don't read their answers.
+// Package unread bounds the memory that a host holds for callers that don't read their
+// responses.
 //
-// Pattern: a shared buffer of bounded size from which the longest waiter is evicted. An answer
-// is held until its caller has taken it, and a caller may take it slowly or, without closing its
-// connection, never. Many such callers would use up the host's memory, and with it every
-// caller's requests.
+// Pattern: a byte bound shared by all responses; above it, the write that has been blocked
+// longest is aborted. A response stays in memory until its caller has read it, and a caller
+// may read slowly or, without closing its connection, never. Many such callers would exhaust
+// the host's memory and fail the requests of all callers.
 package unread
 
 import (
@@ -18,164 +19,165 @@
 )
 
 const (
-	// leastWait is how long a caller has in any case: a link that is full for a moment
-	// holds up callers that read.
-	leastWait = 2 * time.Second
-	// patience is how long a caller may take nothing of what is passed to it, however little
-	// is held: far beyond any pause of a caller that still reads.
-	patience = 30 * time.Second
-	// lookEvery is the time between two looks at who waits.
-	lookEvery = 500 * time.Millisecond
+	// minWait is how long a write may always block: a momentarily congested link also
+	// blocks writes to callers that read.
+	minWait = 2 * time.Second
+	// maxWait is how long a write may block however little is held: far longer than any
+	// pause of a caller that still reads.
+	maxWait       = 30 * time.Second
+	checkInterval = 500 * time.Millisecond
 )
 
-// Tracker knows the answers under way and which of them wait for their callers.
+// Tracker tracks the responses in flight and aborts those whose callers don't read.
 type Tracker struct {
-	most  int64 // bytes
-	onCut func()
-	held  atomic.Int64 // for those that wait, and reserved
+	maxBytes int64
+	onAbort  func()
+	held     atomic.Int64 // bytes of blocked writes and reservations
 
-	mu      sync.Mutex
-	answers map[*Response]struct{}
+	mu        sync.Mutex
+	responses map[*Response]struct{}
 }
 
-// Response is one that is passed to its caller, piece by piece.
+// Response is a response that is written to its caller piece by piece.
 type Response struct {
-	book *Tracker
-	cut  func()
+	tracker *Tracker
+	abort   func()
 
 	mu    sync.Mutex
-	since time.Time // when its caller was passed what it has not taken; zero: it took all
-	bytes int64     // held meanwhile
+	since time.Time // start of the current write, zero if there is none
+	bytes int64     // held during the current write
 }
 
-// New makes a book that allows so many bytes; onCut is told of each caller that is cut.
-func New(most int64, onCut func()) *Tracker {
-	return &Tracker{most: most, onCut: onCut, answers: map[*Response]struct{}{}}
+// New returns a tracker that lets blocked writes hold maxBytes in all; it calls onAbort after
+// each response that it aborts.
+func New(maxBytes int64, onAbort func()) *Tracker {
+	return &Tracker{maxBytes: maxBytes, onAbort: onAbort, responses: map[*Response]struct{}{}}
 }
 
-// Track notes an answer; cut ends it and must not block.
-func (b *Tracker) Track(cut func()) *Response {
-	a := &Response{book: b, cut: cut}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.answers[a] = struct{}{}
-	return a
+// Track registers a response until Untrack. The tracker calls abort, which must not block, to
+// end the response's blocked write.
+func (t *Tracker) Track(abort func()) *Response {
+	r := &Response{tracker: t, abort: abort}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.responses[r] = struct{}{}
+	return r
 }
 
-// Untrack forgets an answer.
-func (b *Tracker) Untrack(a *Response) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.answers, a)
+// Untrack removes a response; it may be called again.
+func (t *Tracker) Untrack(r *Response) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.responses, r)
 }
 
-// BeginWrite notes that the caller is passed a piece while so many bytes are held for it.
-func (a *Response) BeginWrite(bytes int64, now time.Time) {
-	a.mu.Lock()
-	a.since, a.bytes = now, bytes
-	a.mu.Unlock()
-	a.book.held.Add(bytes)
+// BeginWrite records that a write to the caller begins, which holds so many bytes until EndWrite.
+func (r *Response) BeginWrite(bytes int64, now time.Time) {
+	r.mu.Lock()
+	r.since, r.bytes = now, bytes
+	r.mu.Unlock()
+	r.tracker.held.Add(bytes)
 }
 
-// EndWrite notes that the caller took the piece, or is gone.
-func (a *Response) EndWrite() {
-	a.mu.Lock()
-	a.since = time.Time{}
-	a.mu.Unlock()
-	a.book.held.Add(-a.bytes)
+// EndWrite records that the write returned: the caller has read the piece, or is gone.
+func (r *Response) EndWrite() {
+	r.mu.Lock()
+	r.since = time.Time{}
+	r.mu.Unlock()
+	r.tracker.held.Add(-r.bytes)
 }
 
-// unread says since when the caller has taken nothing, and what is held for it; ok is false
-// if it took all.
-func (a *Response) unread() (since time.Time, bytes int64, ok bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.since, a.bytes, !a.since.IsZero()
+// blocked returns when the current write began and the bytes that it holds; ok is false if
+// there is none.
+func (r *Response) blocked() (since time.Time, bytes int64, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.since, r.bytes, !r.since.IsZero()
 }
 
-// cutIfWaiting cuts the caller unless it took the piece in the meantime: its connection may
-// carry the next one by then.
-func (a *Response) cutIfWaiting(since time.Time) (cut bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.since.Equal(since) {
+// abortIfBlocked aborts the write that began at since, unless it has returned meanwhile: the
+// connection may carry the next response by then.
+func (r *Response) abortIfBlocked(since time.Time) (aborted bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.since.Equal(since) {
 		return false
 	}
-	a.cut()
+	r.abort()
 	return true
 }
 
-// wholePart is the part of the bound up to which answers are held whole.
-const wholePart = 0.5
+// bufferedShare is the share of the bound that may be in use for a response to be buffered whole.
+const bufferedShare = 0.5
 
-// Reserve sets so many bytes aside for an answer that is to be held whole, until Unreserve. It
-// says whether there is room: what comes within leastWait is bounded by nothing else.
-func (b *Tracker) Reserve(bytes int64) bool {
-	if float64(b.held.Add(bytes)) <= wholePart*float64(b.most) {
+// Reserve reserves bytes for a response that is to be buffered whole, until Release. It reports
+// whether there is room; nothing else bounds what arrives within minWait.
+func (t *Tracker) Reserve(bytes int64) bool {
+	if float64(t.held.Add(bytes)) <= bufferedShare*float64(t.maxBytes) {
 		return true
 	}
-	b.held.Add(-bytes)
+	t.held.Add(-bytes)
 	return false
 }
 
-// Release ends a Reserve of so many bytes.
-func (b *Tracker) Release(bytes int64) { b.held.Add(-bytes) }
+// Release returns bytes that Reserve granted.
+func (t *Tracker) Release(bytes int64) { t.held.Add(-bytes) }
 
-// Run looks at who waits until ctx ends.
-func (b *Tracker) Run(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// Run checks for blocked writes until ctx ends.
+func (t *Tracker) Run(ctx context.Context) {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			b.look(now)
+			t.check(now)
 		}
 	}
 }
 
-// waiting is an answer that waits.
-type waiting struct {
-	answer *Response
-	since  time.Time
-	waited time.Duration
-	bytes  int64
+// blockedWrite is a write that its caller has not read yet.
+type blockedWrite struct {
+	response *Response
+	since    time.Time
+	waited   time.Duration
+	bytes    int64
 }
 
-// look cuts callers that have waited for too long, and where all that is held is too much
-// those that have waited longest: they have taken nothing for the longest time.
-func (b *Tracker) look(now time.Time) {
-	waits, held := b.waits(now)
-	for _, w := range waits {
-		if w.waited < leastWait || held <= b.most && w.waited < patience {
+// check aborts writes that have been blocked for maxWait and, while more than maxBytes is held,
+// those that have been blocked longest, but none within minWait.
+func (t *Tracker) check(now time.Time) {
+	blocked, held := t.blockedWrites(now)
+	for _, w := range blocked {
+		if w.waited < minWait || held <= t.maxBytes && w.waited < maxWait {
 			return
 		}
 		held -= w.bytes
-		if !w.answer.cutIfWaiting(w.since) {
+		if !w.response.abortIfBlocked(w.since) {
 			continue
 		}
 		log.WithFields(log.Fields{
-			"bytes": w.bytes, "waited": w.waited.Round(time.Millisecond), "held": held, "waiting": len(waits),
-		}).Warn("caller cut that does not read its answer")
-		b.Untrack(w.answer)
-		b.onCut()
+			"bytes": w.bytes, "waited": w.waited.Round(time.Millisecond), "held": held, "waiting": len(blocked),
+		}).Warn("response aborted: the caller does not read it")
+		t.Untrack(w.response)
+		t.onAbort()
 	}
 }
 
-// waits lists who waits, the longest first, and sums what is held for them.
-func (b *Tracker) waits(now time.Time) (list []waiting, held int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for a := range b.answers {
-		if since, bytes, ok := a.unread(); ok {
-			list = append(list, waiting{answer: a, since: since, waited: now.Sub(since), bytes: bytes})
+// blockedWrites lists the blocked writes, the longest first, and the bytes that they hold.
+func (t *Tracker) blockedWrites(now time.Time) (list []blockedWrite, held int64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for r := range t.responses {
+		if since, bytes, ok := r.blocked(); ok {
+			list = append(list, blockedWrite{response: r, since: since, waited: now.Sub(since), bytes: bytes})
 			held += bytes
 		}
 	}
-	slices.SortFunc(list, func(a, b waiting) int { return cmp.Compare(b.waited, a.waited) })
+	slices.SortFunc(list, func(a, b blockedWrite) int { return cmp.Compare(b.waited, a.waited) })
 	return list, held
 }
 
-// Held is how many bytes are held for callers that have yet to take them, or reserved.
-func (b *Tracker) Held() int64 { return b.held.Load() }
+// Held returns the bytes that blocked writes hold or that are reserved.
+func (t *Tracker) Held() int64 { return t.held.Load() }
--- a/router/unread/unread_test.go
+++ b/router/unread/unread_test.go
@@ -15,110 +15,110 @@
 	m.Run()
 }
 
-// Callers that stop reading for good, twenty a second for ten minutes, hold no more than the
-// bound, beside callers that read slowly and lose nothing. In virtual time.
-func TestReadersThatStopForGood(t *testing.T) {
+// Guards against callers that stop reading for good, twenty a second for ten minutes, exceeding
+// the bound, and against aborting callers beside them that read slowly. Runs in virtual time.
+func TestStoppedReadersStayWithinBound(t *testing.T) {
 	is := is.New(t)
-	const most, answer, each = 16 << 20, 256 << 10, 20
-	cuts, peak := 0, int64(0)
-	b := New(most, func() { cuts++ })
+	const maxBytes, size, perSecond = 16 << 20, 256 << 10, 20
+	aborts, peak := 0, int64(0)
+	tracker := New(maxBytes, func() { aborts++ })
 	random := rand.New(rand.NewPCG(1, 2))
-	type slow struct {
-		answer *Response
-		ends   time.Time
+	type slowReader struct {
+		response *Response
+		ends     time.Time
 	}
-	var reading []slow
+	var reading []slowReader
 	begin := time.Now()
-	for now := begin; now.Sub(begin) < 10*time.Minute; now = now.Add(lookEvery) {
-		for range each * int(lookEvery) / int(time.Second) {
-			b.Track(func() {}).BeginWrite(answer, now) // stops for good
-			a := b.Track(func() { t.Error("a caller that reads was cut") })
-			a.BeginWrite(answer, now)
-			reading = append(reading, slow{a, now.Add(time.Duration(random.Int64N(int64(leastWait))))})
+	for now := begin; now.Sub(begin) < 10*time.Minute; now = now.Add(checkInterval) {
+		for range perSecond * int(checkInterval) / int(time.Second) {
+			tracker.Track(func() {}).BeginWrite(size, now) // never read
+			response := tracker.Track(func() { t.Error("aborted a caller that reads") })
+			response.BeginWrite(size, now)
+			reading = append(reading, slowReader{response, now.Add(time.Duration(random.Int64N(int64(minWait))))})
 		}
-		left := reading[:0]
+		rest := reading[:0]
 		for _, r := range reading {
 			if now.Before(r.ends) {
-				left = append(left, r)
+				rest = append(rest, r)
 				continue
 			}
-			r.answer.EndWrite()
-			b.Untrack(r.answer)
+			r.response.EndWrite()
+			tracker.Untrack(r.response)
 		}
-		reading = left
-		b.look(now)
-		_, held := b.waits(now)
+		reading = rest
+		tracker.check(now)
+		_, held := tracker.blockedWrites(now)
 		peak = max(peak, held)
 	}
-	t.Logf("%d cut, %d bytes held at most", cuts, peak)
-	is.True(cuts > 11_000)
-	// Nobody is cut within leastWait, so what came within it may lie beyond the bound.
-	is.True(peak <= most+int64((leastWait+lookEvery).Seconds()*2*each*answer))
+	t.Logf("%d aborted, %d bytes held at most", aborts, peak)
+	is.True(aborts > 11_000)
+	// No write is aborted within minWait, so the writes of that time may exceed the bound.
+	is.True(peak <= maxBytes+int64((minWait+checkInterval).Seconds()*2*perSecond*size))
 }
 
-// The caller that has waited longest is cut first, none before its least wait, and none twice.
-func TestTheLongestWaitIsCutFirst(t *testing.T) {
+// Guards against aborting another write than the one blocked longest, one blocked for less than
+// minWait, or the same one twice.
+func TestLongestBlockedWriteIsAbortedFirst(t *testing.T) {
 	is := is.New(t)
-	var cut []string
-	b := New(100, func() {})
+	var aborted []string
+	tracker := New(100, func() {})
 	now := time.Now()
-	pass := func(name string) *Response {
-		a := b.Track(func() { cut = append(cut, name) })
-		a.BeginWrite(50, now)
-		return a
+	begin := func(name string) *Response {
+		response := tracker.Track(func() { aborted = append(aborted, name) })
+		response.BeginWrite(50, now)
+		return response
 	}
-	pass("first")
+	begin("first")
 	now = now.Add(time.Second)
-	pass("second")
-	pass("third").EndWrite()
-	pass("fourth")
-	b.look(now)
-	is.Equal(cut, nil) // nobody has waited for long
-	now = now.Add(leastWait)
-	b.look(now)
-	b.look(now)
-	is.Equal(cut, []string{"first"}) // that is enough
+	begin("second")
+	begin("third").EndWrite()
+	begin("fourth")
+	tracker.check(now)
+	is.Equal(aborted, nil) // none has been blocked for minWait
+	now = now.Add(minWait)
+	tracker.check(now)
+	tracker.check(now)
+	is.Equal(aborted, []string{"first"}) // the rest is within the bound
 }
 
-// A caller that took its piece in the last moment is not cut: its connection may carry the
-// answer to another request by then.
-func TestTakenInTheLastMoment(t *testing.T) {
+// Guards against aborting a write that returned after it was listed: the connection may carry the
+// response to another request by then.
+func TestWriteThatJustReturnedIsNotAborted(t *testing.T) {
 	is := is.New(t)
-	b := New(100, func() {})
+	tracker := New(100, func() {})
 	now := time.Now()
-	a := b.Track(func() { t.Error("cut") })
-	a.BeginWrite(50, now)
-	waits, _ := b.waits(now.Add(patience))
-	a.EndWrite()
-	a.BeginWrite(50, now.Add(patience))
-	is.True(!waits[0].answer.cutIfWaiting(waits[0].since))
+	response := tracker.Track(func() { t.Error("aborted") })
+	response.BeginWrite(50, now)
+	writes, _ := tracker.blockedWrites(now.Add(maxWait))
+	response.EndWrite()
+	response.BeginWrite(50, now.Add(maxWait))
+	is.True(!writes[0].response.abortIfBlocked(writes[0].since))
 }
 
-// Answers are held whole up to half of the bound, those that are read at the same moment
-// counted.
-func TestReserve(t *testing.T) {
+// Guards against buffering responses beyond half of the bound, with blocked writes counted.
+func TestReserveIsBoundedByBufferedShare(t *testing.T) {
 	is := is.New(t)
-	b := New(100, func() {})
-	a := b.Track(func() {})
-	a.BeginWrite(20, time.Now())
-	is.True(b.Reserve(30))
-	is.True(!b.Reserve(1))
-	b.Release(30)
-	a.EndWrite()
-	is.True(b.Reserve(50))
-	b.Release(50)
-	is.Equal(b.Held(), int64(0))
+	tracker := New(100, func() {})
+	response := tracker.Track(func() {})
+	response.BeginWrite(20, time.Now())
+	is.True(tracker.Reserve(30))
+	is.True(!tracker.Reserve(1))
+	tracker.Release(30)
+	response.EndWrite()
+	is.True(tracker.Reserve(50))
+	tracker.Release(50)
+	is.Equal(tracker.Held(), int64(0))
 }
 
-// Below the bound only a caller is cut that has taken nothing for very long.
-func TestBelowTheBoundOnlyPatienceEnds(t *testing.T) {
+// Guards against aborting writes below the bound before maxWait.
+func TestBelowBoundWritesAreAbortedAfterMaxWait(t *testing.T) {
 	is := is.New(t)
-	cuts := 0
-	b := New(1000, func() { cuts++ })
+	aborts := 0
+	tracker := New(1000, func() { aborts++ })
 	now := time.Now()
-	b.Track(func() {}).BeginWrite(100, now)
-	b.look(now.Add(patience - time.Second))
-	is.Equal(cuts, 0)
-	b.look(now.Add(patience))
-	is.Equal(cuts, 1)
+	tracker.Track(func() {}).BeginWrite(100, now)
+	tracker.check(now.Add(maxWait - time.Second))
+	is.Equal(aborts, 0)
+	tracker.check(now.Add(maxWait))
+	is.Equal(aborts, 1)
 }
