--- a/router/sse/sse.go
+++ b/router/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse finds the ends of whole events in a stream of server-sent events
-// and the id of the last one. It copies nothing and changes no byte.
+// Package sse finds where complete events end in a stream of server-sent events,
+// and the id of the last one. It neither buffers nor modifies the stream.
 package sse
 
 import (
@@ -8,35 +8,35 @@
 	"strings"
 )
 
-// Scanner follows one event stream. The zero value is ready.
+// Scanner parses one event stream. The zero value is ready to use.
 type Scanner struct {
-	line    []byte // the line under way, bounded
-	blank   bool   // the line under way is empty so far and an event was begun
-	begun   bool   // the event under way has a line
-	pending string // id of the event under way
-	lastID  string
-	events  int
-	skipLF  bool // the last byte was a carriage return
+	line      []byte // the current line, up to maxLine bytes
+	blank     bool   // the last line was blank and nothing has followed it
+	inEvent   bool   // the current event has at least one line
+	pendingID string // id of the current event
+	lastID    string
+	events    int
+	skipLF    bool // the last byte was a carriage return
 }
 
-// maxLine bounds the part of a line that is looked at; ids are short.
+// maxLine bounds how much of a line is kept, in bytes; ids are short.
 const maxLine = 256
 
-// Scan takes the next bytes of the stream and returns how many of them belong to
-// events that are whole, 0 if none ends in them.
-func (s *Scanner) Scan(data []byte) (whole int) {
+// Scan parses the next bytes of the stream. It returns the length of the prefix of
+// data that ends with the last complete event, 0 if no event ends in data.
+func (s *Scanner) Scan(data []byte) (complete int) {
 	for i, b := range data {
 		switch {
 		case b == '\n' && s.skipLF:
 			s.skipLF = false
 			if s.blank {
-				whole = i + 1
+				complete = i + 1
 			}
 			continue
 		case b == '\n' || b == '\r':
 			s.skipLF = b == '\r'
 			if s.endLine() {
-				whole = i + 1
+				complete = i + 1
 			}
 		default:
 			s.skipLF = false
@@ -46,50 +46,50 @@
 			}
 		}
 	}
-	return whole
+	return complete
 }
 
-// endLine ends the line under way and says whether it ended an event.
+// endLine ends the current line and reports whether events are complete up to here.
 func (s *Scanner) endLine() bool {
 	if len(s.line) > 0 {
-		s.begun = true
+		s.inEvent = true
 		if id, ok := bytes.CutPrefix(s.line, []byte("id:")); ok {
-			s.pending = strings.TrimPrefix(string(id), " ")
+			s.pendingID = strings.TrimPrefix(string(id), " ")
 		}
 		s.line = s.line[:0]
 		s.blank = false
 		return false
 	}
 	s.blank = true
-	if !s.begun {
-		return true // a blank line between events belongs to the one before
+	if !s.inEvent {
+		return true // a further blank line belongs to the event before it
 	}
-	s.begun = false
+	s.inEvent = false
 	s.events++
-	if s.pending != "" {
-		s.lastID = s.pending
+	if s.pendingID != "" {
+		s.lastID = s.pendingID
 	}
 	return true
 }
 
-// LastID is the id of the last whole event that had one.
+// LastID returns the id of the last complete event that had one.
 func (s *Scanner) LastID() string { return s.lastID }
 
-// Events counts the whole events.
+// Events returns the number of complete events.
 func (s *Scanner) Events() int { return s.events }
 
-// Partial says whether an event has begun and not ended.
-func (s *Scanner) Partial() bool { return s.begun || len(s.line) > 0 }
+// Partial reports whether the stream is inside an event.
+func (s *Scanner) Partial() bool { return s.inEvent || len(s.line) > 0 }
 
-// DropPartial forgets the event under way, so that the stream may go on from elsewhere.
+// DropPartial discards the current event, so that another source can continue the stream.
 func (s *Scanner) DropPartial() {
 	s.line = s.line[:0]
-	s.begun, s.blank, s.skipLF = false, false, false
-	s.pending = ""
+	s.inEvent, s.blank, s.skipLF = false, false, false
+	s.pendingID = ""
 }
 
-// Next is the number behind an id, if ids are numbers; used to check that a
-// resumed stream leaves nothing out.
+// Next returns the number that follows a numeric id; ok is false if the id is not a
+// number. A resumed stream can be checked for gaps with it.
 func Next(id string) (next int64, ok bool) {
 	n, err := strconv.ParseInt(strings.TrimSpace(id), 10, 64)
 	if err != nil {
--- a/router/sse/sse_test.go
+++ b/router/sse/sse_test.go
@@ -11,7 +11,7 @@
 func TestScan(t *testing.T) {
 	cases := []struct {
 		name, text string
-		whole      int
+		complete   int
 		events     int
 		last       string
 	}{
@@ -28,14 +28,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var s Scanner
-			is.Equal(s.Scan([]byte(c.text)), c.whole)
+			is.Equal(s.Scan([]byte(c.text)), c.complete)
 			is.Equal(s.Events(), c.events)
 			is.Equal(s.LastID(), c.last)
 		})
 	}
 }
 
-// However a stream is cut into reads, the same bytes are found whole.
+// Guards against results that depend on how the stream is split into reads.
 func TestScanInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"id: 1", "id: 22", "data: x", "", "event: y", ": c"})).Draw(t, "lines")
@@ -54,7 +54,7 @@
 			at += n
 		}
 		if found != whole || pieces.Events() != one.Events() || pieces.LastID() != one.LastID() {
-			t.Fatalf("in pieces %d bytes, %d events, id %q; at once %d, %d, %q", found, pieces.Events(), pieces.LastID(), whole, one.Events(), one.LastID())
+			t.Fatalf("scanned in pieces: %d bytes, %d events, id %q; at once: %d, %d, %q", found, pieces.Events(), pieces.LastID(), whole, one.Events(), one.LastID())
 		}
 	})
 }
