--- a/router/suspend/suspend.go
+++ b/router/suspend/suspend.go
@@ -1,12 +1,12 @@
-// Package suspend notices that the host was suspended: a virtual machine that was paused or
-// moved, a laptop that slept. The steady clock, by which all else here measures time, does not
-// count such a time, so that what a host believes for so many seconds looks younger than it is.
+// Package suspend detects that the host was suspended: a virtual machine that was paused or
+// migrated, a laptop that slept. The monotonic clock, by which the router measures time, does
+// not advance meanwhile, so that cached state looks younger than it is.
 //
-// Pattern: one watch for all. It compares the steady clock with the one that counts since
-// boot, suspended or not, and tells the node, which asks anew for what may have changed and
-// takes nothing until it has answers. The other way is a clock of its own under every belief,
-// some 130 readings in 36 files; it would say that beliefs are old, but not make them
-// new, which takes the same questions.
+// Pattern: one detector for the process. It compares the monotonic clock with the boot clock,
+// which advances during a suspension, and notifies the node, which refreshes its cached state
+// and accepts no requests until that is done. The alternative is to age every piece of cached
+// state by the boot clock, some 130 readings in 36 files. That would mark state as stale, but
+// refreshing it would take the same calls.
 package suspend
 
 import (
@@ -19,29 +19,28 @@
 	"maststage.dev/lib/wait"
 )
 
-// Figures of the watch.
 const (
-	// MinSuspension is the shortest suspension that is told. Shorter ones are within what beliefs
-	// may be late anyhow, and two clocks are not read at the same instant.
+	// MinSuspension is the shortest suspension that is reported. Cached state may lag by as
+	// much anyway, and the two clocks are not read at the same instant.
 	MinSuspension = 300 * time.Millisecond
-	// lookEvery is the pause between two looks, in running time: a host that wakes
-	// notices it so soon, or with its first request.
-	lookEvery = 200 * time.Millisecond
+	// checkInterval bounds, in running time, how late a resumed host detects the suspension
+	// if no request comes before.
+	checkInterval = 200 * time.Millisecond
 )
 
-// Clocks are the clocks that are compared.
+// Clocks are the two clocks that a Detector compares.
 type Clocks struct {
-	Monotonic func() time.Duration // does not count a suspension
-	Boot      func() time.Duration // counts it
+	Monotonic func() time.Duration // stops during a suspension
+	Boot      func() time.Duration // advances during a suspension
 }
 
-// SystemClocks gives the system's clocks.
+// SystemClocks returns the operating system's clocks.
 func SystemClocks() Clocks {
 	start := time.Now()
 	return Clocks{Monotonic: func() time.Duration { return time.Since(start) }, Boot: sinceBoot}
 }
 
-// sinceBoot reads the clock since boot, 0 if there is none.
+// sinceBoot reads the boot clock, 0 if the system has none.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -50,71 +49,72 @@
 	return time.Duration(ts.Nano())
 }
 
-// Detector notices suspensions.
+// Detector detects suspensions of the host.
 type Detector struct {
-	clocks Clocks
-	onWake func(lost time.Duration)
-	start  time.Time
+	clocks   Clocks
+	onResume func(suspended time.Duration)
+	start    time.Time
 
-	mu   sync.Mutex
-	last time.Duration // boot clock less steady clock
-	lost time.Duration // suspended in all
-	// wallAhead is how far the time of day was ahead of the steady clock, counted from the
-	// start, as the newest request came.
-	wallAhead time.Duration
+	mu         sync.Mutex
+	lastOffset time.Duration // boot clock minus monotonic clock, at the last check
+	total      time.Duration // length of all suspensions
+	// wallOffset is the wall clock minus the monotonic clock, both counted from start, when
+	// the last request arrived.
+	wallOffset time.Duration
 }
 
-// New makes a watch that calls onWake after each suspension, before whoever noticed it goes on.
-func New(clocks Clocks, onWake func(lost time.Duration)) *Detector {
-	return &Detector{clocks: clocks, onWake: onWake, start: time.Now(), last: clocks.Boot() - clocks.Monotonic()}
+// New returns a detector that calls onResume after each suspension, before the call to Check or
+// RequestArrived that detected it returns.
+func New(clocks Clocks, onResume func(suspended time.Duration)) *Detector {
+	return &Detector{clocks: clocks, onResume: onResume, start: time.Now(), lastOffset: clocks.Boot() - clocks.Monotonic()}
 }
 
-// Run looks until ctx ends.
-func (w *Detector) Run(ctx context.Context) {
+// Run checks the clocks until ctx ends.
+func (d *Detector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.Check()
-		wait.For(ctx, lookEvery)
+		d.Check()
+		wait.For(ctx, checkInterval)
 	}
 }
 
-// Check compares the clocks.
-func (w *Detector) Check() {
-	w.mu.Lock()
-	steady := w.clocks.Monotonic()
-	ahead := w.clocks.Boot() - steady
-	lost := ahead - w.last
-	if lost < MinSuspension {
-		w.mu.Unlock()
+// Check compares the clocks and reports a suspension since the last check.
+func (d *Detector) Check() {
+	d.mu.Lock()
+	monotonic := d.clocks.Monotonic()
+	offset := d.clocks.Boot() - monotonic
+	suspended := offset - d.lastOffset
+	if suspended < MinSuspension {
+		d.mu.Unlock()
 		return
 	}
-	w.last = ahead
-	w.lost += lost
-	w.mu.Unlock()
-	w.onWake(lost)
+	d.lastOffset = offset
+	d.total += suspended
+	d.mu.Unlock()
+	d.onResume(suspended)
 }
 
-// RequestArrived looks if a request's time suggests a suspension since the one before: the time of
-// day went on further than the steady clock. That costs no call to the system, and a time of
-// day that was set is told from a suspension by the look.
-func (w *Detector) RequestArrived(now time.Time) {
-	steady := now.Sub(w.start)
-	w.arrived(now.Round(0).Sub(w.start.Round(0)) - steady)
+// RequestArrived runs Check if the wall clock has advanced further than the monotonic clock since
+// the last request, which suggests a suspension. The comparison costs no system call; Check tells
+// a suspension from a wall clock that was set.
+func (d *Detector) RequestArrived(now time.Time) {
+	monotonic := now.Sub(d.start)
+	d.checkWallOffset(now.Round(0).Sub(d.start.Round(0)) - monotonic)
 }
 
-// arrived is Arrived with how far the time of day is ahead of the steady clock.
-func (w *Detector) arrived(ahead time.Duration) {
-	w.mu.Lock()
-	jump := ahead - w.wallAhead
-	w.wallAhead = ahead
-	w.mu.Unlock()
-	if jump >= MinSuspension {
-		w.Check()
+// checkWallOffset is RequestArrived for a given offset of the wall clock from the monotonic clock.
+func (d *Detector) checkWallOffset(offset time.Duration) {
+	d.mu.Lock()
+	advance := offset - d.wallOffset
+	d.wallOffset = offset
+	d.mu.Unlock()
+	if advance >= MinSuspension {
+		d.Check()
 	}
 }
 
-// Total is how long the host was suspended in all.
-func (w *Detector) Total() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.lost
+// Total returns the length of all suspensions so far.
+func (d *Detector) Total() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.total
 }
