--- a/router/forward/admit.go
+++ b/router/forward/admit.go
@@ -14,7 +14,7 @@
 )
 
 // admit checks the request against the configuration, reads its body and
-// reserves its tokens.
+// reserves its tokens. It returns OK, or why the request must not run.
 func (q *request) admit() (Kind, error) {
 	h := q.handler
 	q.id = q.r.Header.Get(h.names.RequestID)
@@ -42,7 +42,7 @@
 	if s := q.config.Service(q.service); s != nil {
 		q.engine = s.Engine
 	}
-	q.setLimit()
+	q.setDeadline()
 	if kind, err := q.readBody(); kind != OK {
 		return kind, err
 	}
@@ -51,12 +51,12 @@
 		return Quarantined, nil
 	}
 	q.head = h.commonHead(q.r, q.body)
-	q.resume = q.r.Header.Get(h.names.LastEventID)
+	q.callerLastEventID = q.r.Header.Get(h.names.LastEventID)
 	h.opts.Retries.ForService(q.service).CountRequest(q.arrived)
 	return q.reserve()
 }
 
-// path is the one on the wire, without its query.
+// path returns the request's path as it was received, without the query.
 func (q *request) path() string {
 	path, _, _ := strings.Cut(q.r.RequestURI, "?")
 	return path
@@ -72,8 +72,8 @@
 	return OK
 }
 
-// regions is where the request may be served, by the configuration that it came under and by the
-// newest one: what waits or is tried again leaves a region that was closed meanwhile.
+// regions returns the regions that both the request's configuration and the newest one allow: a
+// waiting or retried request must not go to a region that was closed meanwhile.
 func (q *request) regions() routing.Regions {
 	regions := q.config.Regions(q.route, q.organisation)
 	newest := q.handler.config.Load()
@@ -87,21 +87,21 @@
 	return regions.Intersect(newest.Regions(newest.Match(q.r.Host, q.path()), organisation))
 }
 
-// callerMargin is kept free before a caller's deadline for the last answer's way.
-const callerMargin = 25 * time.Millisecond
+// deadlineMargin is the time before a caller's deadline that is left for the response to reach it.
+const deadlineMargin = 25 * time.Millisecond
 
-// setLimit works out when the last answer is due.
-func (q *request) setLimit() {
+// setDeadline sets the deadline to the earlier of the route's timeout and the caller's deadline.
+func (q *request) setDeadline() {
 	if d := q.route.Timeout(); d > 0 {
-		q.limit = q.arrived.Add(d)
+		q.deadline = q.arrived.Add(d)
 	}
 	ms, err := strconv.ParseFloat(q.r.Header.Get(q.handler.names.Deadline), 64)
 	if err != nil || ms <= 0 {
 		return
 	}
-	deadline := q.arrived.Add(routing.Milliseconds(ms) - callerMargin)
-	if q.limit.IsZero() || deadline.Before(q.limit) {
-		q.limit = deadline
+	callerDeadline := q.arrived.Add(routing.Milliseconds(ms) - deadlineMargin)
+	if q.deadline.IsZero() || callerDeadline.Before(q.deadline) {
+		q.deadline = callerDeadline
 	}
 }
 
@@ -110,11 +110,11 @@
 		return OK, nil
 	}
 	reader := io.Reader(q.r.Body)
-	if most := q.config.Limits.MaxBodyBytes; most > 0 {
-		if q.r.ContentLength > most {
+	if maxBytes := q.config.Limits.MaxBodyBytes; maxBytes > 0 {
+		if q.r.ContentLength > maxBytes {
 			return TooLarge, nil
 		}
-		reader = http.MaxBytesReader(q.w, q.r.Body, most)
+		reader = http.MaxBytesReader(q.w, q.r.Body, maxBytes)
 	}
 	body, err := readBody(reader, q.r.ContentLength)
 	var tooLarge *http.MaxBytesError
@@ -130,7 +130,7 @@
 	return OK, nil
 }
 
-// readBody reads a body of a known length without growing a buffer.
+// readBody reads a body; one of known length goes into a buffer of that size.
 func readBody(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(r)
@@ -140,32 +140,32 @@
 	return body, err
 }
 
-// reserve sets the request's worst case aside in its organisation's budget.
+// reserve reserves the request's maximum token usage in its organisation's budget.
 func (q *request) reserve() (Kind, error) {
 	if q.engine == nil {
 		return OK, nil
 	}
 	header := q.r.Header
-	q.shared = header.Get(q.handler.names.PromptParts)
+	q.promptParts = header.Get(q.handler.names.PromptParts)
 	u, ok := parseUsage(header.Get(q.handler.names.Usage))
 	q.usage = u
 	if q.organisation == nil || q.organisation.Prepaid == nil {
 		return OK, nil
 	}
 	if !ok {
-		return BadRequest, errors.New("the request does not say how many tokens it needs at most")
+		return BadRequest, errors.New("request has no valid maximum token usage")
 	}
-	reserved, err := q.handler.opts.Budgets.ReserveFor(q.ctx, prepaid.Request{
+	reservation, err := q.handler.opts.Budgets.ReserveFor(q.ctx, prepaid.Request{
 		Organisation: q.organisation.Name, Tokens: u.in + u.out, Priority: q.route.Priority,
 	})
 	switch {
 	case err == nil:
-		q.reserved = reserved
+		q.reservation = reservation
 		return OK, nil
 	case q.ctx.Err() != nil:
 		return CallerGone, err
 	}
-	q.end.Budget, _ = q.handler.opts.Budgets.Holding(q.organisation.Name)
+	q.outcome.Budget, _ = q.handler.opts.Budgets.Holding(q.organisation.Name)
 	if errors.Is(err, prepaid.ErrTooLarge) {
 		return OverBudget, err
 	}
--- /dev/null
+++ b/router/forward/buffered.go
@@ -0,0 +1,111 @@
+package forward
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"maststage.dev/router/httpconn"
+)
+
+// maxBuffered is the size up to which a response is buffered whole before any of it is
+// forwarded, in bytes.
+const maxBuffered = 256 << 10
+
+// alwaysBuffered is the size up to which a response is always buffered whole, in bytes; a longer
+// one is if Options.Unread has room for it.
+const alwaysBuffered = 16 << 10
+
+// bufferedResponse is a response that was read whole.
+type bufferedResponse struct {
+	resp *http.Response
+	body []byte
+}
+
+// send sends the response to the caller.
+func (b *bufferedResponse) send(q *request) {
+	q.outcome.Status = b.resp.StatusCode
+	q.outcome.FirstByte = time.Since(q.arrived)
+	q.handler.copyHead(q.w, b.resp)
+	if b.resp.ContentLength < 0 {
+		// The response was chunked or unframed: net/http must not add a length.
+		q.w.Header()["Content-Length"] = nil
+	}
+	q.w.WriteHeader(b.resp.StatusCode)
+	q.body = nil // no further attempt needs it
+	// An error means that the caller is gone; its connection reports that.
+	_ = q.writeToCaller(len(b.body), func() error {
+		q.releaseBuffer() // from here it is accounted for as unread
+		_, err := q.w.Write(b.body)
+		return err
+	})
+}
+
+// readBuffered reads a response whole if there is room for it; else fits is false and body is its
+// beginning.
+func (q *request) readBuffered(resp *http.Response) (body []byte, fits bool, err error) {
+	q.releaseBuffer() // of a previous attempt
+	size := resp.ContentLength
+	if size < 0 || size > maxBuffered {
+		size = maxBuffered
+	}
+	if size <= alwaysBuffered || !q.handler.opts.Unread.Reserve(size) {
+		return httpconn.ReadLimited(resp.Body, alwaysBuffered)
+	}
+	q.bufferReserved = size
+	return httpconn.ReadLimited(resp.Body, maxBuffered)
+}
+
+// releaseBuffer releases the reservation for a buffered response, if there is one.
+func (q *request) releaseBuffer() {
+	q.handler.opts.Unread.Release(q.bufferReserved)
+	q.bufferReserved = 0
+}
+
+// forwardBuffered reads a response whole. It is sent once the attempt has ended, so that a caller
+// that reads slowly does not occupy the target.
+func (a *attempt) forwardBuffered(ctx context.Context, resp *http.Response) (result, error) {
+	q := a.request
+	body, fits, err := q.readBuffered(resp)
+	if err != nil {
+		a.conn.Finish(false)
+		return a.adjustResult(ctx, a.silence.result(broken), fmt.Errorf("target broke the response off: %w", err))
+	}
+	if !fits {
+		return a.forwardUnbuffered(ctx, resp, body)
+	}
+	a.conn.Finish(true)
+	buffered := &bufferedResponse{resp: resp, body: body}
+	if resp.StatusCode >= http.StatusInternalServerError && q.route.Repeatable() {
+		q.failedResponse = buffered
+		return errored, fmt.Errorf("target responded %s", resp.Status)
+	}
+	a.buffered = buffered
+	if resp.StatusCode >= http.StatusInternalServerError {
+		a.status = resp.StatusCode
+	}
+	return delivered, nil
+}
+
+// forwardUnbuffered forwards a response that is too long to be buffered as it arrives.
+func (a *attempt) forwardUnbuffered(ctx context.Context, resp *http.Response, beginning []byte) (result, error) {
+	q := a.request
+	q.outcome.Status = resp.StatusCode
+	q.outcome.FirstByte = time.Since(q.arrived)
+	q.handler.copyHead(q.w, resp)
+	q.w.WriteHeader(resp.StatusCode)
+	a.silence.pause()
+	writer := &callerWriter{request: q}
+	if _, err := io.Copy(writer, io.MultiReader(bytes.NewReader(beginning), resp.Body)); err != nil {
+		a.conn.Finish(false)
+		if writer.err != nil {
+			return callerGone, err
+		}
+		return a.adjustResult(ctx, cutOff, fmt.Errorf("target broke the response off: %w", err))
+	}
+	a.conn.Finish(true)
+	return delivered, nil
+}
--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -6,80 +6,80 @@
 	"maststage.dev/router/routing"
 )
 
-// A request counts against its budget with its prompt, once, and the tokens that its
-// targets handed out. Those that were passed on are counted; those that a target may have
-// made beside them before its answer broke off are bounded by the time that it had.
+// A request is charged for its prompt, once, and for the tokens that its targets generated.
+// Forwarded tokens are counted. Tokens that a target may have generated but not delivered
+// before its response broke off are bounded by the time that it had.
 
-// noteEvents counts events that came just now.
-func (c *call) noteEvents(n int) {
+// countEvents records that n events have just arrived.
+func (a *attempt) countEvents(n int) {
 	if n == 0 {
 		return
 	}
 	now := time.Now()
-	if c.events == 0 {
-		c.first = now
+	if a.events == 0 {
+		a.firstEvent = now
 	} else {
-		q := c.request
-		q.handler.opts.Targets.RecordGap(c.target, now.Sub(c.last)-c.held, routing.Milliseconds(q.route.GapTargetMs))
+		q := a.request
+		q.handler.opts.Targets.RecordGap(a.target, now.Sub(a.lastEvent)-a.callerDelay, routing.Milliseconds(q.route.GapTargetMs))
 	}
-	c.events += n
-	c.last = now
-	c.unread, c.held = c.unread+c.held, 0
+	a.events += n
+	a.lastEvent = now
+	a.pastCallerDelay, a.callerDelay = a.pastCallerDelay+a.callerDelay, 0
 }
 
-// charge takes in what a try may have cost.
-func (q *request) charge(c *call, res result) {
-	if q.reserved == nil || !c.sent || res == refused {
+// charge adds what an attempt may have cost to the request's charge.
+func (q *request) charge(a *attempt, res result) {
+	if q.reservation == nil || !a.maybeSent || res == refused {
 		return
 	}
-	if c.events > 0 {
-		q.begun = true
+	if a.events > 0 {
+		q.mayHaveTokens = true
 	}
-	if res == delivered && c.events > 0 {
-		q.handler.opts.Meter.Observe(q.service, c.first.Sub(c.started), c.last.Sub(c.first), c.events)
+	if res == delivered && a.events > 0 {
+		q.handler.opts.Meter.Observe(q.service, a.firstEvent.Sub(a.started), a.lastEvent.Sub(a.firstEvent), a.events)
 		return
 	}
-	if most := c.mostUnseen(time.Now()); most > 0 {
-		q.begun = true
-		q.unseen += most
+	if tokens := a.maxUndelivered(time.Now()); tokens > 0 {
+		q.mayHaveTokens = true
+		q.undelivered += tokens
 	}
 }
 
-// mostUnseen bounds the tokens that the target may have made and that did not come.
-func (c *call) mostUnseen(now time.Time) int64 {
-	q := c.request
-	events, known := q.handler.opts.Meter.MaxUndelivered(q.service, now.Sub(c.started), c.events)
+// maxUndelivered returns the most tokens that the target may have generated but not delivered.
+func (a *attempt) maxUndelivered(now time.Time) int64 {
+	q := a.request
+	events, known := q.handler.opts.Meter.MaxUndelivered(q.service, now.Sub(a.started), a.events)
 	if !known || q.engine.Stride <= 0 {
 		return q.usage.out
 	}
 	return min(int64(float64(events)*q.engine.Stride), q.usage.out)
 }
 
-// reserveAnother sets aside what another run may cost: it goes on where the one before
-// broke off, so only what that made unseen is made again. underway says that the run
-// before has not ended and may still make all of its tokens.
-func (q *request) reserveAnother(underway bool) bool {
-	if q.reserved == nil {
+// reserveRetry extends the reservation to cover another run. It resumes where the previous run
+// broke off, so only the undelivered tokens are generated again. If inFlight, the previous run
+// has not ended and may still generate all of its tokens.
+func (q *request) reserveRetry(inFlight bool) bool {
+	if q.reservation == nil {
 		return true
 	}
-	worst := q.usage.in + q.usage.out + q.unseen
-	if underway {
-		worst += q.usage.out
+	maxTokens := q.usage.in + q.usage.out + q.undelivered
+	if inFlight {
+		maxTokens += q.usage.out
 	}
-	return q.reserved.Extend(max(worst-q.reserved.Tokens(), 0))
+	return q.reservation.Extend(max(maxTokens-q.reservation.Tokens(), 0))
 }
 
-// used is what the request counts against its budget.
-func (q *request) used() int64 {
+// tokensUsed returns the tokens that the request is charged.
+func (q *request) tokensUsed() int64 {
 	switch {
-	case q.ran == 0 || !q.begun:
+	case q.possibleRuns == 0 || !q.mayHaveTokens:
 		return 0
 	case q.engine.Stride <= 0:
-		return q.reserved.Tokens()
+		return q.reservation.Tokens()
 	}
-	out := q.unseen
+	out := q.undelivered
 	if q.stream != nil {
 		out += min(int64(float64(q.stream.scanner.Events())*q.engine.Stride), q.usage.out)
 	}
-	return min(q.usage.in+out, q.reserved.Tokens())
+	return min(q.usage.in+out, q.reservation.Tokens())
 }
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -1,6 +1,6 @@
-// Package forward carries requests of callers to targets, byte for byte. Each
-// request is decided on this host alone: whether it may run, which target takes
-// it, whether it is sent again, and what its caller is told.
+// Package forward forwards requests of callers to targets, byte for byte. This host
+// alone decides for each request whether it may run, which target it goes to, whether
+// it is retried, and what the caller receives.
 package forward
 
 import (
@@ -20,21 +20,21 @@
 	"maststage.dev/router/unread"
 )
 
-// Budgets reserves tokens; *prepaid.Treasury does.
+// Budgets reserves tokens; *prepaid.Allocator implements it.
 type Budgets interface {
 	ReserveFor(ctx context.Context, q prepaid.Request) (*prepaid.Reservation, error)
 	Holding(organisation string) (prepaid.Holding, bool)
 }
 
-// Quarantine keeps requests that crash targets from being sent; *quarantine.Guard does.
+// Quarantine blocks requests that crash targets; *quarantine.Guard implements it.
 type Quarantine interface {
-	// IsQuarantined says whether a request must not be sent.
+	// Held reports whether a request must not be sent.
 	IsQuarantined(d quarantine.Digest) bool
-	// TargetExits counts the ends of targets under a request that this host knows of.
+	// Ends returns the number of target exits that this host attributes to a request.
 	TargetExits(d quarantine.Digest) int
-	// RecordExit notes that a request broke off because its target ended.
+	// Broke records that a request broke off because its target exited.
 	RecordExit(r quarantine.Report)
-	// RecordCompletion notes that a target ran a request to its end.
+	// Whole records that a target ran a request to completion.
 	RecordCompletion(d quarantine.Digest)
 }
 
@@ -46,119 +46,120 @@
 	Retries  *retrybudget.Set
 	Meter    *streampace.Estimator
 	Overload *overload.Monitor
-	// Quarantine is told how tries ended and asked before each.
+	// Quarantine is consulted before each attempt and notified of its result.
 	Quarantine Quarantine
 	Observer   Observer
-	// Rollouts says which versions a request may use and is told how it fared there; nil: any.
+	// Rollouts selects the versions that a request may use and records the results; nil: any.
 	Rollouts Rollouts
-	// Unread bounds what is held for callers that don't read.
+	// Unread bounds the memory held for callers that don't read.
 	Unread *unread.Tracker
-	// CloseConnections says that callers are to use other hosts: connections are to be closed.
+	// CloseConnections reports whether to close callers' connections, so that they move to
+	// other hosts.
 	CloseConnections func() bool
-	// MayBegin says whether a request that arrived may begin: OK, or why not. It may wait a
-	// little for that.
+	// MayBegin returns OK if a new request may begin, else why not. It may block briefly.
 	MayBegin func(ctx context.Context, arrived time.Time, streaming bool) Kind
-	// Suspended is how long the host was suspended in all; nil: never.
+	// Suspended returns the length of all suspensions of the host; nil: never suspended.
 	Suspended func() time.Duration
 }
 
 // Handler serves callers.
 type Handler struct {
-	opts   Options
-	names  Headers
-	own    map[string]bool
-	kept   map[string]bool
-	config atomic.Pointer[routing.Config]
-	open   atomic.Int64
-	waits  *waits
+	opts      Options
+	names     Headers
+	managed   map[string]bool
+	protected map[string]bool
+	config    atomic.Pointer[routing.Config]
+	inFlight  atomic.Int64
+	waiting   *waitingAttempts
 }
 
-// New makes a handler without a configuration.
+// New returns a handler without a configuration; it refuses requests until SetConfig.
 func New(opts Options) *Handler {
 	if opts.Rollouts == nil {
 		opts.Rollouts = anyVersion{}
 	}
 	names := opts.Names.canonical()
-	return &Handler{opts: opts, names: names, own: names.own(), kept: names.kept(), waits: newWaits()}
+	return &Handler{opts: opts, names: names, managed: names.managed(), protected: names.protected(), waiting: newWaitingAttempts()}
 }
 
-// SetConfig puts a configuration in force.
+// SetConfig applies a configuration to new requests. Requests in flight keep theirs, but don't go to
+// regions that the new one excludes.
 func (h *Handler) SetConfig(c *routing.Config) { h.config.Store(c) }
 
-// Config is the configuration in force, nil if there is none.
+// Config returns the current configuration, nil if there is none.
 func (h *Handler) Config() *routing.Config { return h.config.Load() }
 
-// InFlight counts the requests under way.
-func (h *Handler) InFlight() int64 { return h.open.Load() }
+// InFlight returns the number of requests in flight.
+func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
 // request is the state of one request.
 type request struct {
-	handler      *Handler
-	w            http.ResponseWriter
-	r            *http.Request
-	ctx          context.Context // ends with the caller's connection
-	arrived      time.Time
-	limit        time.Time     // when the last answer is due
-	lostBefore   time.Duration // the host was suspended so long before the request came
-	config       *routing.Config
-	route        *routing.Route
-	organisation *routing.Organisation
-	service      string
-	engine       *routing.Engine
-	id           string
-	head         []byte
-	body         []byte
-	digest       quarantine.Digest // of what is asked for
-	usage        usage
-	shared       string // affinity
-	resume       string // the caller's own last event id
-
-	reserved *prepaid.Reservation
-	excluded map[string]bool
-	tries    int    // targets that the request was sent to
-	ran      int    // of them, those that may have run it
-	failed   *whole // a target's own failure, to be passed on
-	claimed  bool   // another try was granted before the one before ended
-	begun    bool   // a target may have begun to hand tokens out
-	unseen   int64  // tokens that targets may have made and that did not come
-	stream   *stream
-	look     <-chan bool      // tells whether the target of the newest broken try ended
-	young    bool             // that try had run for a moment at most
-	spared   int              // of tries, those that a target's end broke and that can't have caused it
-	after    time.Duration    // when to come back, 0: as its kind says
-	unread   *unread.Response // nil until the caller was passed something
-	room     int64            // reserved for a whole answer, in bytes
-	end      Outcome
+	handler           *Handler
+	w                 http.ResponseWriter
+	r                 *http.Request
+	ctx               context.Context // cancelled when the caller disconnects
+	arrived           time.Time
+	deadline          time.Time     // for the response; zero: none
+	suspendedBefore   time.Duration // length of all suspensions when the request arrived
+	config            *routing.Config
+	route             *routing.Route
+	organisation      *routing.Organisation
+	service           string
+	engine            *routing.Engine
+	id                string
+	head              []byte
+	body              []byte
+	digest            quarantine.Digest // identifies equal requests
+	usage             usage
+	promptParts       string // header value; all parts but the last give the affinity
+	callerLastEventID string // from the caller's own request
+
+	reservation    *prepaid.Reservation
+	excluded       map[string]bool
+	attempts       int               // at targets that may have received the request
+	possibleRuns   int               // attempts whose target may have run the request
+	failedResponse *bufferedResponse // a target's error response, sent if no retry succeeds
+	retryGranted   bool              // a retry was granted before the current attempt ended
+	mayHaveTokens  bool              // a target may have generated tokens
+	undelivered    int64             // bound on the tokens that targets generated but did not deliver
+	stream         *stream
+	exitProbe      <-chan bool      // whether the target of the last broken attempt exited
+	brokeEarly     bool             // that attempt had run only briefly
+	uncounted      int              // attempts broken by a target exit that the request can't have caused
+	retryAfter     time.Duration    // overrides the Retry-After of the kind unless 0
+	tracked        *unread.Response // nil until the first write to the caller
+	bufferReserved int64            // bytes reserved to buffer a response
+	outcome        Outcome
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP forwards one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.open.Add(1)
-	defer h.open.Add(-1)
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
 	if h.opts.CloseConnections() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{handler: h, w: w, r: r, ctx: r.Context(), arrived: time.Now(), lostBefore: h.lost(), excluded: map[string]bool{}}
+	q := &request{handler: h, w: w, r: r, ctx: r.Context(), arrived: time.Now(), suspendedBefore: h.suspended(), excluded: map[string]bool{}}
 	q.serve()
 }
 
-// serve decides the request and reports its end.
+// serve handles the request and reports its outcome.
 func (q *request) serve() {
 	kind, err := q.admit()
 	if kind == OK {
 		kind, err = q.run()
 	}
-	q.freeRoom()
-	if q.unread != nil {
-		q.handler.opts.Unread.Untrack(q.unread)
+	q.releaseBuffer()
+	if q.tracked != nil {
+		q.handler.opts.Unread.Untrack(q.tracked)
 	}
-	if q.reserved != nil {
-		q.end.TokensReserved = q.reserved.Tokens()
-		q.end.TokensUsed = q.used()
-		q.reserved.Settle(q.end.TokensUsed)
+	if q.reservation != nil {
+		q.outcome.TokensReserved = q.reservation.Tokens()
+		q.outcome.TokensUsed = q.tokensUsed()
+		q.reservation.Settle(q.outcome.TokensUsed)
 	}
 	if kind != OK && kind != CutOff && kind != CallerGone {
-		q.refuse(kind)
+		q.respond(kind)
 	}
 	q.report(kind, err)
 	if kind == CutOff {
@@ -167,61 +168,61 @@
 }
 
 func (q *request) report(kind Kind, err error) {
-	e := &q.end
-	e.RequestID, e.Digest, e.Kind, e.Err = q.id, q.digest, kind, err
-	e.Service, e.Attempts = q.service, q.tries
-	e.Duration = time.Since(q.arrived)
+	o := &q.outcome
+	o.RequestID, o.Digest, o.Kind, o.Err = q.id, q.digest, kind, err
+	o.Service, o.Attempts = q.service, q.attempts
+	o.Duration = time.Since(q.arrived)
 	if q.route != nil {
-		e.Route = q.route.Name
+		o.Route = q.route.Name
 	}
 	if q.organisation != nil {
-		e.Organisation = q.organisation.Name
+		o.Organisation = q.organisation.Name
 	}
 	if q.config != nil {
-		e.ConfigVersion = q.config.Version
+		o.ConfigVersion = q.config.Version
 	}
-	q.handler.opts.Observer.RequestEnded(*e)
+	q.handler.opts.Observer.RequestEnded(*o)
 }
 
-// refuse gives the final answer of a kind.
-func (q *request) refuse(kind Kind) {
-	a := answers[kind]
-	if q.after > 0 {
-		a.after = q.after
+// respond sends the final response of a kind.
+func (q *request) respond(kind Kind) {
+	final := finalResponses[kind]
+	if q.retryAfter > 0 {
+		final.retryAfter = q.retryAfter
 	}
 	header := q.w.Header()
-	if a.after > 0 {
-		header.Set(q.handler.names.RetryAfter, strconv.FormatFloat(a.after.Seconds(), 'f', -1, 64))
+	if final.retryAfter > 0 {
+		header.Set(q.handler.names.RetryAfter, strconv.FormatFloat(final.retryAfter.Seconds(), 'f', -1, 64))
 	}
 	if q.id != "" {
 		header.Set(q.handler.names.RequestID, q.id)
 	}
 	header.Set("Content-Length", "0")
-	q.end.Status = a.status
-	q.w.WriteHeader(a.status)
+	q.outcome.Status = final.status
+	q.w.WriteHeader(final.status)
 }
 
-// left is the time until the last answer is due; ok is false if there is no limit.
-func (q *request) left() (left time.Duration, ok bool) {
-	if q.limit.IsZero() {
+// timeLeft returns the time until the deadline; ok is false if there is none.
+func (q *request) timeLeft() (left time.Duration, ok bool) {
+	if q.deadline.IsZero() {
 		return 0, false
 	}
-	return time.Until(q.limit) - (q.handler.lost() - q.lostBefore), true
+	return time.Until(q.deadline) - (q.handler.suspended() - q.suspendedBefore), true
 }
 
-// lost is how long the host was suspended in all: callers went on waiting meanwhile, though the
-// clock stood.
-func (h *Handler) lost() time.Duration {
+// suspended returns the length of all suspensions of the host. Callers kept waiting during them,
+// though the host's monotonic clock stood still.
+func (h *Handler) suspended() time.Duration {
 	if h.opts.Suspended == nil {
 		return 0
 	}
 	return h.opts.Suspended()
 }
 
-// lastEventID is the event behind which the stream is to go on.
+// lastEventID returns the id of the event after which the stream is to resume.
 func (q *request) lastEventID() string {
 	if q.stream != nil && q.stream.scanner.LastID() != "" {
 		return q.stream.scanner.LastID()
 	}
-	return q.resume
+	return q.callerLastEventID
 }
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -34,7 +34,7 @@
 	m.Run()
 }
 
-// testHeaders are the names of these tests; the platform's are its own matter.
+// testHeaders are header names of these tests only.
 var testHeaders = Headers{
 	RequestID: "X-Id", Deadline: "X-Deadline", Key: "X-Key", Organisation: "X-Org", ExpectTarget: "X-Expect",
 	Usage: "X-Tokens", PromptParts: "X-Parts", LastEventID: "Last-Event-Id", Priority: "X-Priority",
@@ -45,56 +45,56 @@
 	RequestID: "X-Id", ExpectTarget: "X-Expect", LastEventID: "Last-Event-Id", Stamp: "X-Stamp", NotRun: "X-Not-Run", Limit: "X-Limit",
 }
 
-// fakeBudgets counts reservations; free bounds them if it is not negative.
+// fakeBudgets reserves tokens in allocator, or fails with err.
 type fakeBudgets struct {
-	treasury *prepaid.Allocator
-	err      error
+	allocator *prepaid.Allocator
+	err       error
 }
 
 func (f *fakeBudgets) ReserveFor(ctx context.Context, q prepaid.Request) (*prepaid.Reservation, error) {
 	if f.err != nil {
 		return nil, f.err
 	}
-	return f.treasury.ReserveFor(ctx, q)
+	return f.allocator.ReserveFor(ctx, q)
 }
 
 func (f *fakeBudgets) Holding(string) (prepaid.Holding, bool) { return prepaid.Holding{}, false }
 
-// recorder keeps what the handler reports.
+// recorder records what the handler reports.
 type recorder struct {
-	mu     sync.Mutex
-	ends   []Outcome
-	tries  []Attempt
-	breaks []TargetExit
+	mu       sync.Mutex
+	outcomes []Outcome
+	attempts []Attempt
+	exits    []TargetExit
 }
 
-func (r *recorder) AttemptEnded(t Attempt) {
+func (r *recorder) AttemptEnded(a Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tries = append(r.tries, t)
+	r.attempts = append(r.attempts, a)
 }
 
-func (r *recorder) RequestEnded(e Outcome) {
+func (r *recorder) RequestEnded(o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ends = append(r.ends, e)
+	r.outcomes = append(r.outcomes, o)
 }
 
-func (r *recorder) TargetExited(b TargetExit) {
+func (r *recorder) TargetExited(e TargetExit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breaks = append(r.breaks, b)
+	r.exits = append(r.exits, e)
 }
 
-// last waits for the end of the request.
-func (r *recorder) last(t *testing.T, id string) Outcome {
+// waitOutcome waits for the outcome of a request.
+func (r *recorder) waitOutcome(t *testing.T, id string) Outcome {
 	t.Helper()
 	for range 500 {
 		r.mu.Lock()
-		for _, e := range r.ends {
-			if e.RequestID == id {
+		for _, o := range r.outcomes {
+			if o.RequestID == id {
 				r.mu.Unlock()
-				return e
+				return o
 			}
 		}
 		r.mu.Unlock()
@@ -104,31 +104,31 @@
 	return Outcome{}
 }
 
-// tellTries logs how the tries of a failed test went.
-func (b *bench) tellTries() {
-	if !b.t.Failed() {
+// logAttempts logs the attempts of a failed test.
+func (f *fixture) logAttempts() {
+	if !f.t.Failed() {
 		return
 	}
-	b.recorder.mu.Lock()
-	defer b.recorder.mu.Unlock()
-	for _, try := range b.recorder.tries {
-		b.t.Logf("try %d at %s: %s after %v, behind %q: %v", try.Number, try.Target, try.Result, try.Duration, try.ResumedAfter, try.Err)
+	f.recorder.mu.Lock()
+	defer f.recorder.mu.Unlock()
+	for _, a := range f.recorder.attempts {
+		f.t.Logf("attempt %d at %s: %s after %v, resumed after %q: %v", a.Number, a.Target, a.Result, a.Duration, a.ResumedAfter, a.Err)
 	}
-	for _, broke := range b.recorder.breaks {
-		b.t.Logf("end of %s seen, ran %v", broke.Target, broke.SinceFirstEvent)
+	for _, e := range f.recorder.exits {
+		f.t.Logf("%s exited, %v after its first event", e.Target, e.SinceFirstEvent)
 	}
 }
 
-// nobody is the other hosts of a host that is alone.
-type nobody struct{}
+// noPeers stands for the other hosts of a single host.
+type noPeers struct{}
 
-func (nobody) CountingHosts(quarantine.Digest) (others []string, place int) { return nil, 0 }
-func (nobody) Report(context.Context, string, []quarantine.Report) error    { return nil }
-func (nobody) Cleared(context.Context, quarantine.Digest) bool              { return false }
-func (nobody) Broadcast(context.Context, quarantine.Notice)                 {}
+func (noPeers) CountingHosts(quarantine.Digest) (others []string, place int) { return nil, 0 }
+func (noPeers) Report(context.Context, string, []quarantine.Report) error    { return nil }
+func (noPeers) Cleared(context.Context, quarantine.Digest) bool              { return false }
+func (noPeers) Broadcast(context.Context, quarantine.Notice)                 {}
 
-// bench is a handler between a caller and backends.
-type bench struct {
+// fixture is a handler with a caller and backends.
+type fixture struct {
 	t        *testing.T
 	is       *is.I
 	handler  *Handler
@@ -142,7 +142,7 @@
 	guard    *quarantine.Guard
 	backends map[string]*backend.Backend
 	draining atomic.Bool
-	takes    atomic.Bool
+	admits   atomic.Bool
 	nextID   int
 }
 
@@ -157,81 +157,81 @@
  "limits":{"max_body_bytes":100000},
  "organisations":[{"name":"org","keys":["k1","k2"],"priority":1}]}`
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, is: is.New(t), recorder: &recorder{}, meter: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
-	b.takes.Store(true)
-	b.targets = target.NewRegistry(target.Options{
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, is: is.New(t), recorder: &recorder{}, meter: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
+	f.admits.Store(true)
+	f.targets = target.NewRegistry(target.Options{
 		Domain: "z1", DrainLimit: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
 	})
 	one := func() int { return 1 }
-	b.budgets.treasury = prepaid.New(prepaid.Options{Hosts: one, MaxWait: 20 * time.Millisecond})
-	b.guard = quarantine.New(quarantine.Options{
+	f.budgets.allocator = prepaid.New(prepaid.Options{Hosts: one, MaxWait: 20 * time.Millisecond})
+	f.guard = quarantine.New(quarantine.Options{
 		Host: "h1", Write: func(context.Context, eventlog.Record) error { return nil },
-		OnQuarantine: func(d quarantine.Digest) { b.handler.AbortWaiting(d) }, Count: func(string) {}, Go: func(_ string, f func()) { go f() },
+		OnQuarantine: func(d quarantine.Digest) { f.handler.AbortWaiting(d) }, Count: func(string) {}, Go: func(_ string, run func()) { go run() },
 	})
-	b.guard.SetPeers(nobody{})
-	b.handler = New(Options{
-		Quarantine: b.guard, Unread: b.unread,
-		Names: testHeaders, Targets: b.targets, Budgets: b.budgets, Observer: b.recorder, Meter: b.meter, Overload: b.overload,
+	f.guard.SetPeers(noPeers{})
+	f.handler = New(Options{
+		Quarantine: f.guard, Unread: f.unread,
+		Names: testHeaders, Targets: f.targets, Budgets: f.budgets, Observer: f.recorder, Meter: f.meter, Overload: f.overload,
 		Retries:          retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
-		CloseConnections: func() bool { return b.draining.Load() || b.overload.IsUnready(time.Now()) }, MayBegin: b.mayBegin,
+		CloseConnections: func() bool { return f.draining.Load() || f.overload.IsUnready(time.Now()) }, MayBegin: f.mayBegin,
 	})
-	b.configure(testConfig)
-	b.server = httptest.NewServer(b.handler)
-	t.Cleanup(b.server.Close)
-	return b
+	f.configure(testConfig)
+	f.server = httptest.NewServer(f.handler)
+	t.Cleanup(f.server.Close)
+	return f
 }
 
-// mayBegin says whether requests may begin, as a host that stops does.
-func (b *bench) mayBegin(context.Context, time.Time, bool) Kind {
-	if b.takes.Load() {
+// mayBegin implements Options.MayBegin; it refuses as a stopping host does unless admits is set.
+func (f *fixture) mayBegin(context.Context, time.Time, bool) Kind {
+	if f.admits.Load() {
 		return OK
 	}
 	return Stopping
 }
 
-func (b *bench) configure(text string) {
-	b.t.Helper()
+func (f *fixture) configure(text string) {
+	f.t.Helper()
 	config, err := routing.Parse([]byte(text))
-	b.is.NoErr(err)
-	b.handler.SetConfig(config)
+	f.is.NoErr(err)
+	f.handler.SetConfig(config)
 }
 
-// add starts a backend of a service and lists it.
-func (b *bench) add(id, service string, how backend.Behaviour) *backend.Backend {
-	b.t.Helper()
+// add starts a backend of a service and registers it as a target.
+func (f *fixture) add(id, service string, how backend.Behaviour) *backend.Backend {
+	f.t.Helper()
 	e, err := backend.Start(id, backendNames, func(backend.Run) backend.Behaviour { return how })
-	b.is.NoErr(err)
-	b.t.Cleanup(e.Close)
-	b.backends[id] = e
-	b.targets.Put(target.Entry{ID: id, Service: service, Address: e.Address(), Domain: "z1", Slots: 4})
+	f.is.NoErr(err)
+	f.t.Cleanup(e.Close)
+	f.backends[id] = e
+	f.targets.Put(target.Entry{ID: id, Service: service, Address: e.Address(), Domain: "z1", Slots: 4})
 	return e
 }
 
-// request makes a request with an id and a key.
-func (b *bench) request(method, path, body string) *http.Request {
-	b.t.Helper()
-	b.nextID++
-	req, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
-	b.is.NoErr(err)
+// request makes a request with the next id and a key.
+func (f *fixture) request(method, path, body string) *http.Request {
+	f.t.Helper()
+	f.nextID++
+	req, err := http.NewRequest(method, f.server.URL+path, strings.NewReader(body))
+	f.is.NoErr(err)
 	req.Host = "a.example"
-	req.Header.Set("X-Id", fmt.Sprintf("r%d", b.nextID))
+	req.Header.Set("X-Id", fmt.Sprintf("r%d", f.nextID))
 	req.Header.Set("X-Key", "k1")
 	req.Header.Set("X-Tokens", "100,50")
 	return req
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	closed bool  // the connection is to be closed
-	err    error // the body broke off
+	closed bool  // the connection will be closed
+	err    error // no complete response arrived
 }
 
-func (b *bench) do(req *http.Request) reply {
-	b.t.Helper()
+func (f *fixture) do(req *http.Request) reply {
+	f.t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		return reply{err: err}
@@ -241,19 +241,19 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(body), closed: resp.Close, err: err}
 }
 
-// runs counts the runs of all backends.
-func (b *bench) runs() int {
+// runCount returns the number of runs at all backends.
+func (f *fixture) runCount() int {
 	n := 0
-	for _, e := range b.backends {
+	for _, e := range f.backends {
 		n += len(e.Runs())
 	}
 	return n
 }
 
-// running lists the backends that have run a request by now.
-func (b *bench) running() []*backend.Backend {
+// running lists the backends that have run a request.
+func (f *fixture) running() []*backend.Backend {
 	var list []*backend.Backend
-	for _, e := range b.backends {
+	for _, e := range f.backends {
 		if len(e.Runs()) > 0 {
 			list = append(list, e)
 		}
@@ -261,15 +261,15 @@
 	return list
 }
 
-func (b *bench) arrivals() int {
+func (f *fixture) arrivals() int {
 	n := 0
-	for _, e := range b.backends {
+	for _, e := range f.backends {
 		n += e.Arrivals()
 	}
 	return n
 }
 
-// events is the body of a whole stream.
+// events returns the body of a complete stream.
 func events(id string, n int) string {
 	var s strings.Builder
 	for i := 1; i <= n; i++ {
@@ -279,12 +279,12 @@
 }
 
 // eventually waits until a condition holds.
-func (b *bench) eventually(what string, ok func() bool) {
-	b.t.Helper()
-	until.True(b.t, what, ok)
+func (f *fixture) eventually(what string, ok func() bool) {
+	f.t.Helper()
+	until.True(f.t, what, ok)
 }
 
-// deadAddress is one on which nobody listens.
+// deadAddress returns an address on which nobody listens.
 func deadAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/router/forward/headers.go
+++ b/router/forward/headers.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// Headers names the headers that callers, hosts and targets use among
-// themselves; the names are the platform's.
+// Headers holds the names of the headers that callers, hosts and targets
+// exchange; the platform defines them.
 type Headers struct {
-	RequestID    string // of one try of a caller
-	Deadline     string // milliseconds that the caller will wait
+	RequestID    string // of one attempt by a caller
+	Deadline     string // time that the caller will wait, in milliseconds
 	Key          string // the caller's key
 	Organisation string // the organisation, set by the host
 	ExpectTarget string // the only target that may run the request
-	Usage        string // tokens of the prompt, and the most out
-	PromptParts  string // ID:TOKENS,... in order; the last is the request's own
-	LastEventID  string // the stream goes on behind this event
-	Priority     string // 0 (first) to 9
-	Stamp        string // a target's signature of its answer
+	Usage        string // tokens of the prompt and maximum output tokens
+	PromptParts  string // ID:TOKENS,... in order; the last part is unique to the request
+	LastEventID  string // the stream resumes after this event
+	Priority     string // 0 (most urgent) to 9
+	Stamp        string // a target's signature of its response
 	NotRun       string // the target did not run the request
-	Limit        string // requests a second that a target takes from all hosts together
+	Limit        string // requests a second that a target accepts from all hosts together
 	RetryAfter   string // seconds
 	// Internal lists headers that only hosts may send.
 	Internal []string
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// canonical gives the spelling that net/http uses for keys.
+// canonical returns the names as net/http spells header keys.
 func (h Headers) canonical() Headers {
 	for _, name := range []*string{
 		&h.RequestID, &h.Deadline, &h.Key, &h.Organisation, &h.ExpectTarget, &h.Usage, &h.PromptParts,
@@ -52,25 +52,25 @@
 	return h
 }
 
-// own lists the headers that a host sets or takes away itself.
-func (h Headers) own() map[string]bool {
-	own := map[string]bool{"Content-Length": true, "Host": true, "Expect": true}
+// managed lists the headers that a host sets or removes itself.
+func (h Headers) managed() map[string]bool {
+	managed := map[string]bool{"Content-Length": true, "Host": true, "Expect": true}
 	for _, name := range slices.Concat(hopByHop, h.Internal, []string{
 		h.Deadline, h.Key, h.Organisation, h.ExpectTarget, h.LastEventID, h.Priority,
 	}) {
-		own[name] = true
+		managed[name] = true
 	}
-	return own
+	return managed
 }
 
-// kept lists headers that a caller can't take away by naming them in the header
-// Connection.
-func (h Headers) kept() map[string]bool {
+// protected lists headers that a caller can't have removed by naming them in its
+// Connection header.
+func (h Headers) protected() map[string]bool {
 	return map[string]bool{h.RequestID: true, h.Usage: true, h.PromptParts: true}
 }
 
-// nominated lists the headers that a message names in its header Connection.
-func nominated(header http.Header) []string {
+// connectionOptions lists the headers that a message names in its Connection header.
+func connectionOptions(header http.Header) []string {
 	var names []string
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -80,8 +80,8 @@
 	return names
 }
 
-// commonHead renders what each try of a request has in common: the request line
-// and the headers that are passed on.
+// commonHead renders the part of the head that is the same in all attempts: the request
+// line and the forwarded headers.
 func (h *Handler) commonHead(r *http.Request, body []byte) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method)
@@ -89,9 +89,9 @@
 	b.WriteString(r.RequestURI)
 	b.WriteString(" HTTP/1.1\r\n")
 	writeHeader(&b, "Host", r.Host)
-	dropped := nominated(r.Header)
+	dropped := connectionOptions(r.Header)
 	for name, values := range r.Header {
-		if h.own[name] || slices.Contains(dropped, name) && !h.kept[name] {
+		if h.managed[name] || slices.Contains(dropped, name) && !h.protected[name] {
 			continue
 		}
 		for _, value := range values {
@@ -104,9 +104,9 @@
 	return b.Bytes()
 }
 
-// tryHead completes the head for one try.
-func (h *Handler) tryHead(q *request, targetID string, left time.Duration) []byte {
-	b := bytes.NewBuffer(make([]byte, 0, len(q.head)+headRoom))
+// attemptHead renders the complete head for one attempt.
+func (h *Handler) attemptHead(q *request, targetID string, left time.Duration) []byte {
+	b := bytes.NewBuffer(make([]byte, 0, len(q.head)+addedHeaderBytes))
 	b.Write(q.head)
 	writeHeader(b, h.names.Deadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	writeHeader(b, h.names.ExpectTarget, targetID)
@@ -123,8 +123,8 @@
 	return b.Bytes()
 }
 
-// headRoom is space for the headers that a host adds, in bytes.
-const headRoom = 256
+// addedHeaderBytes is the space allocated for the headers that a host adds.
+const addedHeaderBytes = 256
 
 func writeHeader(b *bytes.Buffer, name, value string) {
 	b.WriteString(name)
@@ -133,10 +133,10 @@
 	b.WriteString("\r\n")
 }
 
-// copyHead passes a target's status and headers on to the caller.
+// copyHead copies a target's headers to the caller's response, but hop-by-hop ones.
 func (h *Handler) copyHead(w http.ResponseWriter, resp *http.Response) {
 	out := w.Header()
-	dropped := nominated(resp.Header)
+	dropped := connectionOptions(resp.Header)
 	for name, values := range resp.Header {
 		if slices.Contains(hopByHop, name) || slices.Contains(dropped, name) && name != h.names.Stamp && name != h.names.RequestID {
 			continue
@@ -144,17 +144,17 @@
 		out[name] = values
 	}
 	if _, has := out["Content-Type"]; !has {
-		out["Content-Type"] = nil // else net/http guesses one
+		out["Content-Type"] = nil // else net/http would guess one
 	}
 	if _, has := out["Date"]; !has {
 		out["Date"] = nil
 	}
 }
 
-// usage is the size of a request at a model engine, in tokens.
+// usage is the token usage of a request.
 type usage struct {
 	in  int64
-	out int64 // at most
+	out int64 // maximum
 }
 
 // parseUsage reads "IN,OUT".
@@ -174,9 +174,9 @@
 	return usage{in: in, out: out}, true
 }
 
-// sharedParts is the prefix of the prompt that other requests share: all parts
+// sharedPrefix returns the parts of the prompt that other requests may share: all
 // but the last.
-func sharedParts(parts string) string {
+func sharedPrefix(parts string) string {
 	i := strings.LastIndexByte(parts, ',')
 	if i < 0 {
 		return ""
--- a/router/forward/limits.go
+++ b/router/forward/limits.go
@@ -8,11 +8,11 @@
 	"maststage.dev/router/limit"
 )
 
-// noteLimit takes over what an answer says of its target's limit. A misdirected request reached
-// another target than the one that is meant, and an answer without a signature or the word that
-// nothing was run is not the target's own.
-func (c *call) noteLimit(resp *http.Response) {
-	names := c.request.handler.names
+// recordLimit records the rate limit that a response advertises for its target. It ignores a
+// response to a misdirected request, which another target sent, and one with neither a signature
+// nor the header NotRun, which need not come from the target itself.
+func (a *attempt) recordLimit(resp *http.Response) {
+	names := a.request.handler.names
 	if names.Limit == "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
@@ -20,42 +20,43 @@
 	if !refusal && resp.Header.Get(names.Stamp) == "" {
 		return
 	}
-	targets := c.request.handler.opts.Targets
-	statement, err := limit.Parse(resp.Header[names.Limit], refusal)
+	targets := a.request.handler.opts.Targets
+	advertised, err := limit.Parse(resp.Header[names.Limit], refusal)
 	if err != nil {
-		targets.RecordMalformedLimit(c.target, err)
+		targets.RecordMalformedLimit(a.target, err)
 		return
 	}
-	targets.RecordLimit(c.target, statement)
+	targets.RecordLimit(a.target, advertised)
 }
 
-// noTarget says why no target takes the request, and sets what its caller is told where those that could
-// name limits: when to come back, and to another host if this one sends them nothing.
-func (q *request) noTarget() Kind {
-	full, ok := q.handler.opts.Targets.LimitsExhaustedFor(q.want(q.excluded))
+// noTargetKind returns why no target can take the request. If rate limits are the reason, it sets
+// the caller's Retry-After, and closes the connection if this host has no share of the limits, so
+// that the caller retries at another host.
+func (q *request) noTargetKind() Kind {
+	exhausted, ok := q.handler.opts.Targets.LimitsExhaustedFor(q.requirements(q.excluded))
 	if !ok {
 		return NoTarget
 	}
-	q.after = full.RetryAfter
-	if !full.HasShare {
+	q.retryAfter = exhausted.RetryAfter
+	if !exhausted.HasShare {
 		q.w.Header().Set("Connection", "close")
 	}
 	return TargetsFull
 }
 
-// placeLook is the time between two looks for a target that goes on with a stream.
-const placeLook = 50 * time.Millisecond
+// targetPollInterval is the time between two searches for a target that can resume a stream.
+const targetPollInterval = 50 * time.Millisecond
 
-// awaitPlace waits a moment for a target that goes on with a stream whose beginning its caller has:
-// refused, it would be lost. It says whether one may be found then.
-func (q *request) awaitPlace(ctx context.Context) bool {
-	if q.stream == nil || !q.stream.begun || !q.handler.opts.Targets.HasLimitShare(q.want(q.excluded)) {
+// awaitTarget waits for targetPollInterval if a rate limit may soon admit the rest of a stream that
+// the caller has received in part: giving up would lose it. It reports whether to search again.
+func (q *request) awaitTarget(ctx context.Context) bool {
+	if q.stream == nil || !q.stream.headSent || !q.handler.opts.Targets.HasLimitShare(q.requirements(q.excluded)) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(placeLook):
+	case <-time.After(targetPollInterval):
 		return true
 	}
 }
--- a/router/forward/observer.go
+++ b/router/forward/observer.go
@@ -7,17 +7,17 @@
 	"maststage.dev/router/quarantine"
 )
 
-// Observer is told of decisions and ends; it must not block.
+// Observer is notified of attempts and outcomes; its methods must not block.
 type Observer interface {
-	// AttemptEnded tells of one try at a target.
-	AttemptEnded(t Attempt)
-	// RequestEnded tells of a request's end.
-	RequestEnded(e Outcome)
-	// TargetExited tells of a try that broke off because its target ended.
-	TargetExited(b TargetExit)
+	// AttemptEnded reports one attempt at a target.
+	AttemptEnded(a Attempt)
+	// RequestEnded reports the outcome of a request.
+	RequestEnded(o Outcome)
+	// TargetExited reports an attempt that broke off because its target exited.
+	TargetExited(e TargetExit)
 }
 
-// Attempt is one try of a request at a target.
+// Attempt describes one attempt of a request at a target.
 type Attempt struct {
 	RequestID    string
 	Number       int
@@ -25,26 +25,26 @@
 	Domain       string
 	Result       string
 	Status       int
-	ResumedAfter string // the event behind which the stream went on
+	ResumedAfter string // the id of the event after which the stream resumed
 	Duration     time.Duration
 	Err          error
 }
 
-// TargetExit is a try that broke off because its target ended.
+// TargetExit describes an attempt that broke off because its target exited.
 type TargetExit struct {
 	RequestID       string
 	Digest          quarantine.Digest
 	Target          string
 	Service         string
-	Events          int           // that had come
-	Duration        time.Duration // of the try
-	SinceFirstEvent time.Duration // since its first event, 0: none had come
+	Events          int           // received before the exit
+	Duration        time.Duration // of the attempt
+	SinceFirstEvent time.Duration // 0 if no event had arrived
 }
 
-// Outcome is how a request ended.
+// Outcome describes how a request ended.
 type Outcome struct {
 	RequestID      string
-	Digest         quarantine.Digest // zero: its body was not read
+	Digest         quarantine.Digest // zero if the body was not read
 	Route          string
 	Organisation   string
 	Service        string
@@ -56,8 +56,8 @@
 	Events         int
 	TokensReserved int64
 	TokensUsed     int64
-	Budget         prepaid.Holding // as seen when the request was refused for it
-	FirstByte      time.Duration   // until the answer began
+	Budget         prepaid.Holding // set if the request was refused for its budget
+	FirstByte      time.Duration   // time until the response began
 	Duration       time.Duration
 	Err            error
 }
--- a/router/forward/overload_test.go
+++ b/router/forward/overload_test.go
@@ -9,38 +9,38 @@
 	"maststage.dev/standin/backend"
 )
 
-// slowDials makes connections to many targets seem to take so long.
-func (b *bench) slowDials(took time.Duration) {
+// recordSlowDials reports dials to many targets that took so long.
+func (f *fixture) recordSlowDials(took time.Duration) {
 	for i := range 16 {
-		b.overload.RecordDial(fmt.Sprint("t", i), took, time.Now())
+		f.overload.RecordDial(fmt.Sprint("t", i), took, time.Now())
 	}
 }
 
-// An overloaded host turns requests away at once, as not run, and closes their
-// connections, so that their callers come to another host.
-func TestOverloadedHostTurnsRequestsAway(t *testing.T) {
-	b := newBench(t)
-	b.add("p1", "plain", backend.Behaviour{Body: "x"})
-	b.slowDials(time.Minute)
-	got := b.do(b.request("GET", "/safe/x", ""))
-	b.is.Equal(got.status, 503)
-	b.is.Equal(got.header.Get("Retry-After"), "2")
-	b.is.True(got.closed)
-	b.is.Equal(b.runs(), 0)
-	b.is.Equal(b.recorder.last(t, "r1").Kind, HostBusy)
+// Guards against an overloaded host that keeps requests waiting, reports them as possibly run, or
+// keeps their connections open, so that callers don't move to another host.
+func TestOverloadedHostRefusesRequests(t *testing.T) {
+	f := newFixture(t)
+	f.add("p1", "plain", backend.Behaviour{Body: "x"})
+	f.recordSlowDials(time.Minute)
+	got := f.do(f.request("GET", "/safe/x", ""))
+	f.is.Equal(got.status, 503)
+	f.is.Equal(got.header.Get("Retry-After"), "2")
+	f.is.True(got.closed)
+	f.is.Equal(f.runCount(), 0)
+	f.is.Equal(f.recorder.waitOutcome(t, "r1").Kind, HostBusy)
 }
 
-// A target that an overloaded host can't reach is not ejected: the host is at fault. A
-// host at rest ejects it.
-func TestOverloadedHostEjectsNobody(t *testing.T) {
-	for name, overloaded := range map[string]bool{"at rest": false, "overloaded": true} {
+// Guards against ejecting a target that an overloaded host can't reach, where the host is at fault,
+// and against not ejecting it if the host is idle.
+func TestOverloadedHostEjectsNoTarget(t *testing.T) {
+	for name, overloaded := range map[string]bool{"idle": false, "overloaded": true} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.targets.Put(target.Entry{ID: "dead", Service: "plain", Address: deadAddress(t), Domain: "z1", Slots: 4})
-			b.add("p1", "plain", backend.Behaviour{Body: "x"})
+			f := newFixture(t)
+			f.targets.Put(target.Entry{ID: "dead", Service: "plain", Address: deadAddress(t), Domain: "z1", Slots: 4})
+			f.add("p1", "plain", backend.Behaviour{Body: "x"})
 			unreached := func() (n int) {
-				for _, try := range b.recorder.tries {
-					if try.Target == "dead" && try.Result == notSent.String() {
+				for _, a := range f.recorder.attempts {
+					if a.Target == "dead" && a.Result == notSent.String() {
 						n++
 					}
 				}
@@ -48,21 +48,21 @@
 			}
 			for range 500 {
 				if overloaded {
-					b.slowDials(110 * time.Millisecond) // most requests are admitted
+					f.recordSlowDials(110 * time.Millisecond) // most requests are admitted
 				}
-				b.do(b.request("GET", "/safe/x", ""))
-				if unreached() > brokenBeforeEjection {
+				f.do(f.request("GET", "/safe/x", ""))
+				if unreached() > failuresToEject {
 					break
 				}
-				if b.targets.Ejected("dead", time.Now()) {
+				if f.targets.Ejected("dead", time.Now()) {
 					break
 				}
 			}
-			b.is.Equal(b.targets.Ejected("dead", time.Now()), !overloaded)
-			b.is.True(unreached() >= brokenBeforeEjection)
+			f.is.Equal(f.targets.Ejected("dead", time.Now()), !overloaded)
+			f.is.True(unreached() >= failuresToEject)
 		})
 	}
 }
 
-// brokenBeforeEjection is more than enough failures in a row for a target to be ejected.
-const brokenBeforeEjection = 2
+// failuresToEject is more than enough consecutive failures to eject a target.
+const failuresToEject = 2
--- /dev/null
+++ b/router/forward/responses_test.go
@@ -0,0 +1,321 @@
+package forward
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"maststage.dev/router/target"
+	"maststage.dev/standin/backend"
+)
+
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	f := newFixture(t)
+	e := f.add("t1", "plain", backend.Behaviour{Body: "answer"})
+	req := f.request("POST", "/safe/a%2Fb//c?x=%41&y", "the body")
+	req.Header.Set("X-Custom", "kept")
+	req.Header.Set("X-Org", "forged")
+	req.Header.Set("X-Expect", "forged")
+	req.Header.Set("X-Memory", "forged")
+	req.Header.Set("X-Deadline", "1500")
+	req.Header.Add("Connection", "X-Hop, X-Id, X-Tokens")
+	req.Header.Set("X-Hop", "1")
+	got := f.do(req)
+	f.is.Equal(got.status, 200)
+	f.is.Equal(got.body, "answer")
+	f.is.Equal(got.header.Get("X-Stamp"), "t1")
+	run := e.Runs()[0]
+	f.is.Equal(run.URI, "/safe/a%2Fb//c?x=%41&y")
+	f.is.Equal(run.Host, "a.example")
+	f.is.Equal(run.Body, "the body")
+	f.is.Equal(run.ID, "r1")
+	f.is.Equal(run.Header.Get("X-Custom"), "kept")
+	f.is.Equal(run.Header.Get("X-Tokens"), "100,50") // not removed by Connection
+	f.is.Equal(run.Header.Get("X-Org"), "org")       // from the key, not from the caller's header
+	f.is.Equal(run.Header.Get("X-Expect"), "t1")
+	f.is.Equal(run.Header.Get("X-Memory"), "")
+	f.is.Equal(run.Header.Get("X-Key"), "")
+	f.is.Equal(run.Header.Get("X-Hop"), "")
+	left := run.Header.Get("X-Deadline")
+	f.is.True(left != "" && left < "1500" && len(left) == 4) // less than the caller's
+}
+
+func TestChunkedBodyIsForwardedWhole(t *testing.T) {
+	f := newFixture(t)
+	e := f.add("t1", "plain", backend.Behaviour{Body: "ok"})
+	req := f.request("POST", "/safe/x", "")
+	req.Body = http.NoBody
+	body := strings.Repeat("0123456789", 3000)
+	req.Body = readCloser{strings.NewReader(body)}
+	req.ContentLength = -1
+	f.is.Equal(f.do(req).status, 200)
+	f.is.Equal(e.Runs()[0].Body, body)
+}
+
+type readCloser struct{ *strings.Reader }
+
+func (readCloser) Close() error { return nil }
+
+func TestRefusedRequestsReachNoTarget(t *testing.T) {
+	cases := []struct {
+		name, path, key, body string
+		status                int
+	}{
+		{"no route", "/none/x", "k1", "", 404},
+		{"unknown key", "/safe/x", "nobody", "", 401},
+		{"no key", "/safe/x", "", "", 401},
+		{"body too long", "/safe/x", "k1", strings.Repeat("x", 100001), 413},
+		{"public route needs no key", "/open/x", "", "", 200},
+		{"public route with an unknown key", "/open/x", "nobody", "", 200},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			e := f.add("t1", "plain", backend.Behaviour{Body: "ok"})
+			req := f.request("POST", c.path, c.body)
+			req.Header.Del("X-Key")
+			if c.key != "" {
+				req.Header.Set("X-Key", c.key)
+			}
+			f.is.Equal(f.do(req).status, c.status)
+			if c.status == 200 {
+				f.is.Equal(e.Runs()[0].Header.Get("X-Org"), "")
+			} else {
+				f.is.Equal(f.arrivals(), 0)
+			}
+		})
+	}
+}
+
+func TestRequestsAreRefusedWithoutConfiguration(t *testing.T) {
+	f := newFixture(t)
+	f.handler.config.Store(nil)
+	got := f.do(f.request("GET", "/safe/x", ""))
+	f.is.Equal(got.status, 503)
+	f.is.True(got.header.Get("Retry-After") != "")
+}
+
+func TestRequestsAreRefusedWithoutTarget(t *testing.T) {
+	f := newFixture(t)
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.Equal(got.status, 503)
+	f.is.True(got.header.Get("Retry-After") != "")
+	f.is.Equal(f.recorder.waitOutcome(t, "r1").Kind, NoTarget)
+}
+
+func TestErrorResponseKeepsStatusAndStamp(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Status: 500, Body: "broken"})
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.Equal(got.status, 500)
+	f.is.Equal(got.header.Get("X-Stamp"), "t1")
+	f.is.Equal(got.body, "broken")
+	f.is.Equal(f.runCount(), 1) // it ran, so it isn't retried
+}
+
+func TestSafeRequestIsRetriedAfterFailure(t *testing.T) {
+	for name, how := range map[string]backend.Behaviour{
+		"failure":          {Status: 500},
+		"no signature":     {NoStamp: true, Body: "x"},
+		"body breaks off":  {Body: strings.Repeat("x", 1000), BreakAfter: 10},
+		"reset, no length": {Body: strings.Repeat("x", 1000), BreakAfter: 10, NoLength: true, Reset: true},
+		"refused":          {Refuse: true},
+		"silent":           {Mute: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			bad := f.add("bad", "plain", how)
+			f.add("good", "plain", backend.Behaviour{Body: "ok"})
+			f.backends["good"].Behave(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok"} })
+			// Equal targets are chosen at random.
+			for n := 0; n < 6 || bad.Arrivals() == 0 && n < 100; n++ {
+				got := f.do(f.request("GET", "/safe/x", ""))
+				f.is.Equal(got.status, 200)
+				f.is.Equal(got.body, "ok")
+			}
+			f.is.True(bad.Arrivals() > 0) // else the test shows nothing
+		})
+	}
+}
+
+func TestUnsafeRequestRunsOnce(t *testing.T) {
+	cases := []struct {
+		name   string
+		how    backend.Behaviour
+		status int
+	}{
+		{"body breaks off", backend.Behaviour{Body: strings.Repeat("x", 1000), BreakAfter: 10}, 502},
+		{"connection closed", backend.Behaviour{Body: "xx", BreakAfter: 1, Reset: true}, 502},
+		{"no signature", backend.Behaviour{NoStamp: true, Body: "x"}, 502},
+		{"silent", backend.Behaviour{Mute: true}, 504},
+		{"failure", backend.Behaviour{Status: 500}, 500},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.add("t1", "plain", c.how)
+			f.add("t2", "plain", c.how)
+			got := f.do(f.request("POST", "/unsafe/x", "b"))
+			f.is.Equal(got.status, c.status)
+			f.is.Equal(f.runCount(), 1)
+		})
+	}
+}
+
+func TestUnsafeRequestIsRetriedAfterRefusal(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Refuse: true})
+	f.add("t2", "plain", backend.Behaviour{Body: "ok"})
+	for range 4 {
+		f.is.Equal(f.do(f.request("POST", "/unsafe/x", "b")).status, 200)
+	}
+	f.is.Equal(f.runCount(), 4)
+}
+
+func TestRequestRefusedByAllTargetsIsReportedNotRun(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Refuse: true})
+	f.add("t2", "plain", backend.Behaviour{Refuse: true})
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.Equal(got.status, 503)
+	f.is.True(got.header.Get("Retry-After") != "")
+	f.is.Equal(f.runCount(), 0)
+	f.is.Equal(f.recorder.waitOutcome(t, "r1").Kind, Overloaded)
+}
+
+// Guards against telling the caller that a request has not run which the first target broke off and
+// the second refused.
+func TestRequestThatMayHaveRunIsNotReportedNotRun(t *testing.T) {
+	f := newFixture(t)
+	first := true
+	how := func(backend.Run) backend.Behaviour {
+		if first {
+			first = false
+			return backend.Behaviour{Body: "xx", BreakAfter: 1}
+		}
+		return backend.Behaviour{Refuse: true}
+	}
+	e1 := f.add("t1", "plain", backend.Behaviour{})
+	e1.Behave(how)
+	e2 := f.add("t2", "plain", backend.Behaviour{})
+	e2.Behave(how)
+	got := f.do(f.request("GET", "/safe/x", ""))
+	f.is.Equal(f.arrivals(), 2)
+	f.is.Equal(got.status, 502)
+}
+
+func TestUnreachableTargetIsSkipped(t *testing.T) {
+	f := newFixture(t)
+	f.targets.Put(target.Entry{ID: "dead", Service: "plain", Address: deadAddress(t), Domain: "z1", Slots: 50})
+	f.add("t1", "plain", backend.Behaviour{Body: "ok"})
+	for range 4 {
+		f.is.Equal(f.do(f.request("POST", "/unsafe/x", "b")).status, 200)
+	}
+}
+
+// Guards against a request that runs at a target which has taken over another target's address; it
+// responds 421 instead.
+func TestMisdirectedRequestIsNotRun(t *testing.T) {
+	f := newFixture(t)
+	e := f.add("new", "engine", backend.Behaviour{Body: "other service"})
+	f.targets.Put(target.Entry{ID: "old", Service: "plain", Address: e.Address(), Domain: "z1", Slots: 4})
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.Equal(got.status, 503)
+	f.is.Equal(f.runCount(), 0)
+}
+
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Body: "mine", CrossedFirst: true})
+	for range 3 {
+		got := f.do(f.request("POST", "/unsafe/x", "b"))
+		f.is.Equal(got.status, 200)
+		f.is.Equal(got.body, "mine")
+	}
+}
+
+func TestExtraResponseReachesNoCaller(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Body: "mine", Extra: true})
+	for range 5 {
+		got := f.do(f.request("GET", "/safe/x", ""))
+		f.is.Equal(got.body, "mine")
+		time.Sleep(5 * time.Millisecond) // so that the extra bytes have arrived
+	}
+}
+
+// Guards against reusing a connection on which the target responded before it had read the whole
+// request body: the rest of the body is still due on it.
+func TestConnectionIsNotReusedAfterEarlyResponse(t *testing.T) {
+	f := newFixture(t)
+	e := f.add("t1", "plain", backend.Behaviour{Body: "early", EarlyAnswer: true})
+	body := strings.Repeat("x", 90000)
+	got := f.do(f.request("POST", "/safe/x", body))
+	f.is.Equal(got.body, "early")
+	e.Behave(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok"} })
+	f.is.Equal(f.do(f.request("POST", "/safe/x", "second")).body, "ok")
+	f.is.Equal(e.Runs()[0].Body, "second")
+}
+
+// Guards against forwarding an unframed response as complete after its connection was reset.
+func TestUnframedResponseCutByResetIsNotForwarded(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Body: strings.Repeat("x", 2000), NoLength: true, BreakAfter: 100, Reset: true})
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.Equal(got.status, 502)
+}
+
+func TestUnframedResponseIsForwarded(t *testing.T) {
+	f := newFixture(t)
+	body := strings.Repeat("x", 2000)
+	f.add("t1", "plain", backend.Behaviour{Body: body, NoLength: true})
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.NoErr(got.err)
+	f.is.Equal(got.body, body)
+}
+
+func TestRouteTimeoutIsEnforced(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Mute: true})
+	started := time.Now()
+	got := f.do(f.request("POST", "/unsafe/x", "b"))
+	f.is.Equal(got.status, 504)
+	f.is.True(time.Since(started) >= 590*time.Millisecond)
+	f.eventually("the target's work is cancelled", func() bool { return f.backends["t1"].Runs()[0].Cancelled })
+}
+
+func TestCallerDeadlineIsEnforced(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Mute: true})
+	req := f.request("POST", "/unsafe/x", "b")
+	req.Header.Set("X-Deadline", "200")
+	got := f.do(req)
+	f.is.Equal(got.status, 504)
+	f.is.True(f.recorder.waitOutcome(t, "r1").Duration < 590*time.Millisecond) // not the route's timeout
+}
+
+func TestDrainingHostClosesConnections(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Body: "ok"})
+	f.draining.Store(true)
+	got := f.do(f.request("GET", "/safe/x", ""))
+	f.is.Equal(got.status, 200)
+	f.is.True(got.closed)
+	f.admits.Store(false)
+	got = f.do(f.request("GET", "/safe/x", ""))
+	f.is.Equal(got.status, 503)
+	f.is.Equal(f.recorder.waitOutcome(t, "r2").Kind, Stopping)
+}
+
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Status: 500})
+	f.add("t2", "plain", backend.Behaviour{Status: 500})
+	const requests = 120
+	for range requests {
+		f.is.Equal(f.do(f.request("GET", "/safe/x", "")).status, 500)
+	}
+	f.is.True(f.arrivals()-requests <= int(0.2*requests+50))
+	f.is.True(f.arrivals() > requests)
+}
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -9,19 +9,19 @@
 	"maststage.dev/router/target"
 )
 
-// result is how one try at a target went.
+// result is the result of one attempt at a target.
 type result int
 
 const (
-	delivered  result = iota // the caller has the answer
-	notSent                  // the target can't have got the request
-	refused                  // the target said that it did not run it
-	errored                  // the target's own failure, kept in request.failed
-	broken                   // it may have run; no usable answer
-	silent                   // it may have run; no answer in the time for one try
+	delivered  result = iota // the response was forwarded or is ready to be
+	notSent                  // the target can't have received the request
+	refused                  // the target declared that it did not run the request
+	errored                  // the target's error response, kept in request.failedResponse
+	broken                   // it may have run; no usable response
+	silent                   // it may have run; the target was silent for too long
 	callerGone               // the caller left
-	outOfTime                // the request's time is over
-	cutOff                   // the answer broke off after its beginning was passed on
+	outOfTime                // the request's deadline passed
+	cutOff                   // the response broke off after its beginning was forwarded
 )
 
 var resultNames = [...]string{
@@ -31,23 +31,22 @@
 
 func (r result) String() string { return resultNames[r] }
 
-// mayHaveRun says whether the target may have run the request.
+// mayHaveRun reports whether the target may have run the request.
 func (r result) mayHaveRun() bool { return r != notSent && r != refused }
 
-// Bounds of the tries of one request.
 const (
-	maxUnsent = 4                     // targets that can't be reached
-	leastTime = 20 * time.Millisecond // left for another try
+	maxUnreachable = 4                     // unreachable targets per request
+	minTimeLeft    = 20 * time.Millisecond // before the deadline, for another attempt
 )
 
-// run tries targets until one answers or nothing more may be tried.
+// run attempts targets until one delivers a response or no further attempt is allowed.
 func (q *request) run() (Kind, error) {
 	ctx, cancel := q.ctx, context.CancelFunc(func() {})
-	if !q.limit.IsZero() {
-		ctx, cancel = context.WithDeadline(q.ctx, q.limit)
+	if !q.deadline.IsZero() {
+		ctx, cancel = context.WithDeadline(q.ctx, q.deadline)
 	}
 	defer cancel()
-	unsent := 0
+	unreachable := 0
 	var last error
 	for {
 		if q.handler.opts.Quarantine.IsQuarantined(q.digest) {
@@ -56,17 +55,17 @@
 		if q.regions().Empty() {
 			return q.giveUp(NoRegion, last)
 		}
-		t := q.choose(q.excluded)
-		if t == nil && q.awaitPlace(ctx) {
+		t := q.chooseTarget(q.excluded)
+		if t == nil && q.awaitTarget(ctx) {
 			continue
 		}
 		if t == nil && q.ctx.Err() != nil {
 			return CallerGone, last
 		}
 		if t == nil {
-			return q.giveUp(q.noTarget(), errors.Join(last, errors.New("no target is left")))
+			return q.giveUp(q.noTargetKind(), errors.Join(last, errors.New("no target is available")))
 		}
-		res, err := q.try(ctx, t)
+		res, err := q.attemptTarget(ctx, t)
 		last = err
 		switch {
 		case res == delivered:
@@ -78,107 +77,107 @@
 		case res == outOfTime:
 			return q.giveUp(Timeout, err)
 		case res == notSent:
-			unsent++
+			unreachable++
 		}
 		q.excluded[t.ID] = true
-		if unsent >= maxUnsent || !q.mayTryAgain(res, false) {
+		if unreachable >= maxUnreachable || !q.mayRetry(res, false) {
 			return q.giveUp(TargetFailed, err)
 		}
 	}
 }
 
-// giveUp picks the truthful kind of the last answer: a request that can't have
-// run is told so.
+// giveUp returns the kind of the final response. It claims that the request has not
+// run only if it can't have.
 func (q *request) giveUp(kind Kind, err error) (Kind, error) {
 	switch {
-	case q.stream != nil && q.stream.begun:
+	case q.stream != nil && q.stream.headSent:
 		return CutOff, err
-	case q.ran > 0 && q.failed != nil && kind != Timeout:
-		q.failed.pass(q)
+	case q.possibleRuns > 0 && q.failedResponse != nil && kind != Timeout:
+		q.failedResponse.send(q)
 		return OK, err
-	case q.ran > 0 && kind == Timeout:
+	case q.possibleRuns > 0 && kind == Timeout:
 		return Timeout, err
-	case q.ran > 0:
+	case q.possibleRuns > 0:
 		return TargetFailed, err
 	case kind == Timeout:
 		return TimeoutUnrun, err
 	case kind == Quarantined, kind == NoRegion, kind == TargetsFull:
 		return kind, err
-	case q.tries > 0:
+	case q.attempts > 0:
 		return Overloaded, err
 	}
 	return NoTarget, err
 }
 
-// claimTry asks for another try while the target before is still at work on a
-// request that may be repeated. It is called by the watch for silence.
-func (q *request) claimTry(target string) bool {
-	if q.claimed {
+// claimRetry claims a retry for a retryable request whose current target may still
+// run it, and reports whether it may go to another one. The silence timer calls it.
+func (q *request) claimRetry(target string) bool {
+	if q.retryGranted {
 		return true
 	}
 	others := maps.Clone(q.excluded)
 	others[target] = true
-	if !q.route.Repeatable() || !q.handler.opts.Targets.HasCandidate(q.want(others)) {
+	if !q.route.Repeatable() || !q.handler.opts.Targets.HasCandidate(q.requirements(others)) {
 		return false
 	}
-	q.claimed = q.mayTryAgain(silent, true)
-	return q.claimed
+	q.retryGranted = q.mayRetry(silent, true)
+	return q.retryGranted
 }
 
-// mayTryAgain says whether the request may go to another target after a try; underway
-// says that the try has not ended yet.
-func (q *request) mayTryAgain(res result, underway bool) bool {
-	if q.claimed {
-		q.claimed = false
+// mayRetry reports whether the request may go to another target after an attempt;
+// inFlight says that the attempt has not ended yet.
+func (q *request) mayRetry(res result, inFlight bool) bool {
+	if q.retryGranted {
+		q.retryGranted = false
 		return true
 	}
-	if left, ok := q.left(); ok && left < leastTime {
+	if left, ok := q.timeLeft(); ok && left < minTimeLeft {
 		return false
 	}
 	if res == notSent {
 		return true
 	}
-	if res == broken && q.blamed() {
+	if res == broken && q.causedExits() {
 		return false
 	}
-	if q.tries-q.spared >= q.route.Attempts() {
+	if q.attempts-q.uncounted >= q.route.Attempts() {
 		return false
 	}
-	if q.ran > 0 && !q.route.Repeatable() {
+	if q.possibleRuns > 0 && !q.route.Repeatable() {
 		return false
 	}
-	if res.mayHaveRun() && !q.reserveAnother(underway) {
+	if res.mayHaveRun() && !q.reserveRetry(inFlight) {
 		return false
 	}
 	return q.handler.opts.Retries.ForService(q.service).Spend(time.Now())
 }
 
-// choose picks a target. Where the request was to try a new version and none of its targets takes
-// it, it goes to the others.
-func (q *request) choose(excluded map[string]bool) *target.Target {
+// chooseTarget selects a target. A request that was selected for a new version goes to the other
+// versions if no target of the new one can take it.
+func (q *request) chooseTarget(excluded map[string]bool) *target.Target {
 	targets := q.handler.opts.Targets
-	w := q.want(excluded)
-	w.Versions = q.handler.opts.Rollouts.Rule(q.ask(len(excluded) == 0))
-	t := targets.Choose(w)
-	if t == nil && w.Versions.Only != "" {
-		t = targets.Choose(q.want(excluded))
+	req := q.requirements(excluded)
+	req.Versions = q.handler.opts.Rollouts.Rule(q.ask(len(excluded) == 0))
+	t := targets.Choose(req)
+	if t == nil && req.Versions.Only != "" {
+		t = targets.Choose(q.requirements(excluded))
 	}
 	return t
 }
 
-// want is what the request asks of a target as a repeat.
-func (q *request) want(excluded map[string]bool) target.Requirements {
+// requirements returns what the request requires of a target in a retry.
+func (q *request) requirements(excluded map[string]bool) target.Requirements {
 	return target.Requirements{
-		Service: q.service, Affinity: sharedParts(q.shared), PromptTokens: float64(q.usage.in), Exclude: excluded,
-		Priority: q.rank(),
+		Service: q.service, Affinity: sharedPrefix(q.promptParts), PromptTokens: float64(q.usage.in), Exclude: excluded,
+		Priority: q.priority(),
 		Regions:  q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
 	}
 }
 
-// rank is the urgency of the request: one that may have run goes before all that are new, and all
-// organisations are alike.
-func (q *request) rank() int {
-	if q.ran > 0 {
+// priority returns the request's priority in the choice of a target: one that may have run precedes
+// all new ones, and all organisations are equal.
+func (q *request) priority() int {
+	if q.possibleRuns > 0 {
 		return 0
 	}
 	return q.route.Priority
--- a/router/forward/silence.go
+++ b/router/forward/silence.go
@@ -8,121 +8,120 @@
 	"maststage.dev/router/routing"
 )
 
-// Factors of the route's objective after which a silent target is given up for
-// another.
+// A target is abandoned for another one when it is silent for a multiple of the route's
+// latency objective, or of its gap objective once a stream has begun, but not before the minimum.
 const (
-	silentStream  = 2.0
-	silentAnswer  = 2.5
-	silentGap     = 3.0 // of the objective for gaps
-	leastSilence  = 300 * time.Millisecond
-	leastGap      = 800 * time.Millisecond
-	fallbackAimMs = 1000
+	streamSilenceFactor   = 2.0
+	responseSilenceFactor = 2.5
+	gapSilenceFactor      = 3.0
+	minSilence            = 300 * time.Millisecond
+	minGapSilence         = 800 * time.Millisecond
+	defaultLatencyMs      = 1000
 )
 
-// beginPatience is how long a target may take to begin its answer.
-func (q *request) beginPatience() time.Duration {
-	aim := q.route.TargetLatencyMs
-	if aim <= 0 {
-		aim = fallbackAimMs
+// firstByteTimeout returns how long a target may take to begin its response.
+func (q *request) firstByteTimeout() time.Duration {
+	objectiveMs := q.route.TargetLatencyMs
+	if objectiveMs <= 0 {
+		objectiveMs = defaultLatencyMs
 	}
-	factor := silentAnswer
+	factor := responseSilenceFactor
 	if q.route.Kind == routing.Streaming {
-		factor = silentStream
+		factor = streamSilenceFactor
 	}
-	return max(routing.Milliseconds(aim*factor), leastSilence)
+	return max(routing.Milliseconds(objectiveMs*factor), minSilence)
 }
 
-// gapPatience is how long a stream may say nothing; ok is false if the route has no
-// objective for gaps.
-func (q *request) gapPatience() (d time.Duration, ok bool) {
-	if q.stream == nil || !q.stream.begun {
-		return q.beginPatience(), true
+// silenceTimeout returns how long a target may be silent; ok is false if the stream has
+// begun and the route has no gap objective.
+func (q *request) silenceTimeout() (d time.Duration, ok bool) {
+	if q.stream == nil || !q.stream.headSent {
+		return q.firstByteTimeout(), true
 	}
 	if q.route.GapTargetMs <= 0 {
 		return 0, false
 	}
-	return max(routing.Milliseconds(q.route.GapTargetMs*silentGap), leastGap), true
+	return max(routing.Milliseconds(q.route.GapTargetMs*gapSilenceFactor), minGapSilence), true
 }
 
-// silence watches a target that may say nothing. When its time is over, the target
-// is given up, but only if the request may then go to another one: silence alone
-// ends no answer.
-type silence struct {
+// silenceTimer aborts the connection to a silent target, but only if the request may then
+// go to another one: silence alone ends no response.
+type silenceTimer struct {
 	request *request
 	conn    *httpconn.Conn
-	claim   func() bool // asks for another try
+	claim   func() bool // claims a retry, see request.claimRetry
 	timer   *time.Timer
 
-	mu      sync.Mutex
-	began   time.Time     // when the time that runs began
-	span    time.Duration // and how long it is
-	stood   bool          // this host stood still once meanwhile
-	paused  bool          // the caller has yet to take what came
-	stopped bool
-	gaveUp  bool
+	mu        sync.Mutex
+	startedAt time.Time     // of the current timeout
+	timeout   time.Duration // current timeout
+	stalled   bool          // this host stalled, so the timeout was extended once
+	paused    bool          // the caller has not read what arrived
+	stopped   bool
+	aborted   bool
 }
 
-func (q *request) watchSilence(conn *httpconn.Conn, target string) *silence {
-	s := &silence{request: q, conn: conn, began: time.Now(), span: q.beginPatience()}
-	s.claim = func() bool { return q.claimTry(target) }
-	s.timer = time.AfterFunc(s.span, s.over)
+func (q *request) startSilenceTimer(conn *httpconn.Conn, target string) *silenceTimer {
+	s := &silenceTimer{request: q, conn: conn, startedAt: time.Now(), timeout: q.firstByteTimeout()}
+	s.claim = func() bool { return q.claimRetry(target) }
+	s.timer = time.AfterFunc(s.timeout, s.expire)
 	return s
 }
 
-// stoodStill is how much later than due the time is over where this host stood still, and may have
-// the target's answer unread: no busy host's timers are as late.
-const stoodStill = 250 * time.Millisecond
+// minStall is the delay of the timer from which this host counts as stalled: it may then not have
+// read the target's response yet. Timers of a busy host are not as late.
+const minStall = 250 * time.Millisecond
 
-// over gives the target up if another may be tried.
-func (s *silence) over() {
+// expire abandons the target if another one may be attempted.
+func (s *silenceTimer) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if late := now.Sub(s.began) - s.span; !s.stopped && !s.paused && !s.stood && late > stoodStill {
-		s.stood, s.began = true, now
-		s.timer.Reset(s.span)
+	if late := now.Sub(s.startedAt) - s.timeout; !s.stopped && !s.paused && !s.stalled && late > minStall {
+		s.stalled, s.startedAt = true, now
+		s.timer.Reset(s.timeout)
 		return
 	}
 	if !s.stopped && !s.paused && s.claim() {
-		s.gaveUp = true
+		s.aborted = true
 		s.conn.Abort()
 	}
 }
 
-// pause stops the time until the target is heard again.
-func (s *silence) pause() {
+// pause stops the timer until restart.
+func (s *silenceTimer) pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.paused = true
 	s.timer.Stop()
 }
 
-// heard starts the time anew.
-func (s *silence) heard() {
-	d, ok := s.request.gapPatience()
+// restart restarts the timer with the timeout that now applies.
+func (s *silenceTimer) restart() {
+	d, ok := s.request.silenceTimeout()
 	if !ok {
 		s.timer.Stop()
 		return
 	}
 	s.mu.Lock()
-	s.began, s.span, s.stood, s.paused = time.Now(), d, false, false
+	s.startedAt, s.timeout, s.stalled, s.paused = time.Now(), d, false, false
 	s.mu.Unlock()
 	s.timer.Reset(d)
 }
 
-// stop ends the watch.
-func (s *silence) stop() {
+// stop stops the timer for good.
+func (s *silenceTimer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
 	s.timer.Stop()
 }
 
-// result turns a failure into silence if the target was given up.
-func (s *silence) result(res result) result {
+// result returns silent if the timer aborted the connection, else res.
+func (s *silenceTimer) result(res result) result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gaveUp {
+	if s.aborted {
 		return silent
 	}
 	return res
--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// connectionBytes is about what a connection and its request hold beside the bodies.
-const connectionBytes = 24 << 10
+// connectionOverheadBytes is roughly the memory of a connection and its request, without the bodies.
+const connectionOverheadBytes = 24 << 10
 
-// passPiece passes the caller a piece of its answer, of so many bytes.
-func (q *request) passPiece(bytes int, write func() error) error {
-	if q.unread == nil {
+// writeToCaller calls write, which writes a piece of the response of so many bytes, and accounts
+// for it in opts.Unread.
+func (q *request) writeToCaller(bytes int, write func() error) error {
+	if q.tracked == nil {
 		control := http.NewResponseController(q.w)
-		q.unread = q.handler.opts.Unread.Track(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
+		q.tracked = q.handler.opts.Unread.Track(func() { _ = control.SetWriteDeadline(aLongTimeAgo) })
 	}
-	q.unread.BeginWrite(int64(len(q.body)+bytes+connectionBytes), time.Now())
-	defer q.unread.EndWrite()
+	q.tracked.BeginWrite(int64(len(q.body)+bytes+connectionOverheadBytes), time.Now())
+	defer q.tracked.EndWrite()
 	return write()
 }
 
-// aLongTimeAgo is a deadline that ends what is under way.
+// aLongTimeAgo is a deadline that ends writes in progress at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// unreadWriter passes the caller what is written to it.
-type unreadWriter struct {
+// callerWriter writes to the caller by writeToCaller.
+type callerWriter struct {
 	request *request
-	err     error // of the caller's connection
+	err     error // of the last write
 }
 
-// Write returns the errors of the caller's connection.
-func (u *unreadWriter) Write(p []byte) (n int, err error) {
-	u.err = u.request.passPiece(len(p), func() error {
+// Write writes p to the caller.
+func (u *callerWriter) Write(p []byte) (n int, err error) {
+	u.err = u.request.writeToCaller(len(p), func() error {
 		n, err = u.request.w.Write(p)
 		return err
 	})
 	return n, u.err
 }
 
-// awaitCaller lets the caller take events. However long it takes, the target is neither silent
-// nor slow meanwhile.
-func (c *call) awaitCaller(send func() error) error {
-	c.silence.pause()
-	c.target.BeginCallerWait()
-	began := time.Now()
+// sendToCaller calls send, which writes events to the caller. The time that it takes counts neither
+// as silence nor as slowness of the target.
+func (a *attempt) sendToCaller(send func() error) error {
+	a.silence.pause()
+	a.target.BeginCallerWait()
+	start := time.Now()
 	err := send()
-	c.held += time.Since(began)
-	c.target.EndCallerWait()
+	a.callerDelay += time.Since(start)
+	a.target.EndCallerWait()
 	return err
 }
--- a/router/forward/slowcaller_test.go
+++ b/router/forward/slowcaller_test.go
@@ -18,72 +18,73 @@
 	"maststage.dev/standin/backend"
 )
 
-// slowCaller is a caller that reads nothing for a while once it has read some writes.
+// slowCaller is a caller that stops reading for a while after some writes.
 type slowCaller struct {
 	*httptest.ResponseRecorder
-	after  int           // writes that it reads at once
-	pause  time.Duration // before it reads on
-	stands chan struct{} // closed when it reads no more
-	once   sync.Once
+	after   int           // number of writes that it reads at once
+	pause   time.Duration // before it continues to read
+	stopped chan struct{} // closed when it stops reading
+	once    sync.Once
 }
 
 func newSlowCaller(after int, pause time.Duration) *slowCaller {
-	return &slowCaller{ResponseRecorder: httptest.NewRecorder(), after: after, pause: pause, stands: make(chan struct{})}
+	return &slowCaller{ResponseRecorder: httptest.NewRecorder(), after: after, pause: pause, stopped: make(chan struct{})}
 }
 
 func (c *slowCaller) Write(p []byte) (int, error) {
 	if c.after--; c.after < 0 {
 		c.once.Do(func() {
-			close(c.stands)
+			close(c.stopped)
 			time.Sleep(c.pause)
 		})
 	}
 	return c.ResponseRecorder.Write(p)
 }
 
-// serve lets the handler answer a request of a slow caller.
-func (b *bench) serve(c *slowCaller, req *http.Request) {
+// serve runs the handler for a request of a slow caller.
+func (f *fixture) serve(c *slowCaller, req *http.Request) {
 	req.RequestURI = req.URL.RequestURI()
-	b.handler.ServeHTTP(c, req)
+	f.handler.ServeHTTP(c, req)
 }
 
-// A caller that reads slowly holds its own stream up and nothing else: its target isn't given
-// up as silent, which would spend a retry, strike a good target and run the request twice.
-func TestSlowCallerIsNotTheTargetsSilence(t *testing.T) {
-	b := newBench(t)
-	b.add("t1", "engine", backend.Behaviour{Events: 40, Gap: 20 * time.Millisecond})
-	b.add("t2", "engine", backend.Behaviour{Events: 40, Gap: 20 * time.Millisecond})
+// Guards against taking the target of a slow caller for silent, which would spend a retry, count as
+// a failure of a healthy target and run the request twice.
+func TestSlowCallerDoesNotMakeTargetSilent(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "engine", backend.Behaviour{Events: 40, Gap: 20 * time.Millisecond})
+	f.add("t2", "engine", backend.Behaviour{Events: 40, Gap: 20 * time.Millisecond})
 	c := newSlowCaller(3, 2*time.Second)
-	b.serve(c, b.request("POST", "/stream/x", "prompt"))
-	b.is.Equal(c.Body.String(), events("r1", 40))
-	b.is.Equal(b.runs(), 1)
-	b.is.Equal(b.recorder.last(t, "r1").Attempts, 1)
+	f.serve(c, f.request("POST", "/stream/x", "prompt"))
+	f.is.Equal(c.Body.String(), events("r1", 40))
+	f.is.Equal(f.runCount(), 1)
+	f.is.Equal(f.recorder.waitOutcome(t, "r1").Attempts, 1)
 }
 
-// A target that cuts a stream which nobody read for long is not held to have failed.
-func TestTargetThatCutsAnUnreadStreamIsNotToBlame(t *testing.T) {
+// Guards against counting it as a target's failure that it aborts a stream which its caller has
+// not read for long.
+func TestTargetIsNotBlamedForAbortingUnreadStream(t *testing.T) {
 	is := is.New(t)
-	is.Equal((&call{held: 3 * time.Second}).judgement(broken), target.Abandoned)
-	is.Equal((&call{held: 100 * time.Millisecond}).judgement(broken), target.Broken)
+	is.Equal((&attempt{callerDelay: 3 * time.Second}).targetResult(broken), target.Abandoned)
+	is.Equal((&attempt{callerDelay: 100 * time.Millisecond}).targetResult(broken), target.Broken)
 }
 
-// A target that answered has ended its work, however long its caller takes to read: its
-// connection serves other requests, and isn't cut under them as if the target were silent.
-func TestSlowCallerOfAWholeAnswerHoldsNoTarget(t *testing.T) {
-	b := newBench(t)
-	b.add("t1", "plain", backend.Behaviour{Body: "answer", Delay: 50 * time.Millisecond})
-	b.add("t2", "plain", backend.Behaviour{Body: "answer", Delay: 50 * time.Millisecond})
+// Guards against a slow caller that keeps its target's connection busy after the target has sent its
+// response, or has it aborted under other requests as if the target were silent.
+func TestSlowCallerDoesNotOccupyTarget(t *testing.T) {
+	f := newFixture(t)
+	f.add("t1", "plain", backend.Behaviour{Body: "answer", Delay: 50 * time.Millisecond})
+	f.add("t2", "plain", backend.Behaviour{Body: "answer", Delay: 50 * time.Millisecond})
 	c := newSlowCaller(0, time.Second)
 	var all sync.WaitGroup
-	slow := b.request("GET", "/safe/x", "")
-	all.Go(func() { b.serve(c, slow) })
-	<-c.stands
+	slow := f.request("GET", "/safe/x", "")
+	all.Go(func() { f.serve(c, slow) })
+	<-c.stopped
 	const others = 60
 	for range others / 6 {
-		for range 6 { // so that the first request's connection is in use all the time
-			req := b.request("GET", "/safe/x", "")
+		for range 6 { // so that the first request's connection is always in use
+			req := f.request("GET", "/safe/x", "")
 			all.Go(func() {
-				if got := b.do(req); got.status != http.StatusOK {
+				if got := f.do(req); got.status != http.StatusOK {
 					t.Errorf("status %d", got.status)
 				}
 			})
@@ -91,71 +92,71 @@
 		time.Sleep(55 * time.Millisecond)
 	}
 	all.Wait()
-	b.is.Equal(c.Body.String(), "answer")
-	b.recorder.mu.Lock()
-	defer b.recorder.mu.Unlock()
-	b.is.Equal(len(b.recorder.tries), 1+others)
+	f.is.Equal(c.Body.String(), "answer")
+	f.recorder.mu.Lock()
+	defer f.recorder.mu.Unlock()
+	f.is.Equal(len(f.recorder.attempts), 1+others)
 }
 
-// Nor is an answer cut that is too long to be read whole first.
-func TestSlowCallerOfALongAnswerGetsAllOfIt(t *testing.T) {
-	b := newBench(t)
+// Guards against cutting off a response that is too long to be buffered because its caller reads slowly.
+func TestSlowCallerGetsWholeLongResponse(t *testing.T) {
+	f := newFixture(t)
 	long := strings.Repeat("long ", 200_000)
-	b.add("t1", "plain", backend.Behaviour{Body: long})
-	b.add("t2", "plain", backend.Behaviour{Body: long})
+	f.add("t1", "plain", backend.Behaviour{Body: long})
+	f.add("t2", "plain", backend.Behaviour{Body: long})
 	c := newSlowCaller(2, time.Second)
-	b.serve(c, b.request("GET", "/safe/x", ""))
-	b.is.True(c.Body.String() == long)
-	b.is.Equal(b.runs(), 1)
+	f.serve(c, f.request("GET", "/safe/x", ""))
+	f.is.True(c.Body.String() == long)
+	f.is.Equal(f.runCount(), 1)
 }
 
-// stalled is a caller that never reads; its connection's write deadline ends that.
-type stalled struct {
+// stalledCaller is a caller that never reads; the connection's write deadline ends its writes.
+type stalledCaller struct {
 	*httptest.ResponseRecorder
 	over chan struct{}
 }
 
-func (c *stalled) Write([]byte) (int, error) {
+func (c *stalledCaller) Write([]byte) (int, error) {
 	<-c.over
 	return 0, os.ErrDeadlineExceeded
 }
 
-func (c *stalled) SetWriteDeadline(time.Time) error {
+func (c *stalledCaller) SetWriteDeadline(time.Time) error {
 	close(c.over)
 	return nil
 }
 
-// Hundreds of callers that stop reading for good hold a bounded part of the host's memory. Those
-// that waited longest are cut; the rest are not, and who reads is served meanwhile.
-func TestCallersThatNeverReadAreCut(t *testing.T) {
-	const callers, answer, most = 300, 200 << 10, 8 << 20
-	b := newBench(t)
+// Guards against hundreds of callers that never read exhausting the host's memory, against aborting
+// more of them than needed, and against refusing callers that read meanwhile.
+func TestCallersThatNeverReadAreAborted(t *testing.T) {
+	const callers, responseBytes, maxBytes = 300, 200 << 10, 8 << 20
+	f := newFixture(t)
 	cuts := new(atomic.Int64)
-	b.unread = unread.New(most, func() { cuts.Add(1) })
-	b.handler.opts.Unread = b.unread
+	f.unread = unread.New(maxBytes, func() { cuts.Add(1) })
+	f.handler.opts.Unread = f.unread
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go b.unread.Run(ctx)
-	b.add("t1", "plain", backend.Behaviour{Body: strings.Repeat("x", answer)})
+	go f.unread.Run(ctx)
+	f.add("t1", "plain", backend.Behaviour{Body: strings.Repeat("x", responseBytes)})
 	var all sync.WaitGroup
-	var waiting []*stalled
+	var waiting []*stalledCaller
 	for range callers {
-		c := &stalled{httptest.NewRecorder(), make(chan struct{})}
+		c := &stalledCaller{httptest.NewRecorder(), make(chan struct{})}
 		waiting = append(waiting, c)
-		req := b.request("GET", "/safe/x", "")
+		req := f.request("GET", "/safe/x", "")
 		req.RequestURI = req.URL.RequestURI()
-		all.Go(func() { b.handler.ServeHTTP(c, req) })
+		all.Go(func() { f.handler.ServeHTTP(c, req) })
 	}
-	b.eventually("all callers wait", func() bool {
-		return b.unread.Held() >= callers*(leastWhole+connectionBytes)
+	f.eventually("all callers block their writes", func() bool {
+		return f.unread.Held() >= callers*(alwaysBuffered+connectionOverheadBytes)
 	})
-	b.is.True(b.unread.Held() > most)
-	b.is.True(b.unread.Held() <= most/2+callers*(leastWhole+1+connectionBytes)) // few are held whole
-	b.eventually("what is held is bounded", func() bool { return b.unread.Held() <= most })
-	b.is.Equal(b.do(b.request("GET", "/safe/x", "")).status, http.StatusOK)
-	b.is.True(b.unread.Held() > most-(answer+connectionBytes)) // no more were cut than needed
-	b.is.True(cuts.Load() > 0)
-	for _, c := range waiting { // the rest goes
+	f.is.True(f.unread.Held() > maxBytes)
+	f.is.True(f.unread.Held() <= maxBytes/2+callers*(alwaysBuffered+1+connectionOverheadBytes)) // few are buffered whole
+	f.eventually("the memory held is bounded", func() bool { return f.unread.Held() <= maxBytes })
+	f.is.Equal(f.do(f.request("GET", "/safe/x", "")).status, http.StatusOK)
+	f.is.True(f.unread.Held() > maxBytes-(responseBytes+connectionOverheadBytes)) // no more were aborted than needed
+	f.is.True(cuts.Load() > 0)
+	for _, c := range waiting { // release the rest
 		select {
 		case <-c.over:
 		default:
@@ -163,5 +164,5 @@
 		}
 	}
 	all.Wait()
-	b.is.Equal(b.unread.Held(), int64(0))
+	f.is.Equal(f.unread.Held(), int64(0))
 }
--- a/router/forward/stream.go
+++ b/router/forward/stream.go
@@ -11,85 +11,86 @@
 	"maststage.dev/router/sse"
 )
 
-// stream is the state of an event stream across tries.
+// stream is the state of an event stream across attempts.
 type stream struct {
-	scanner sse.Scanner
-	begun   bool // the caller has its head
-	control *http.ResponseController
+	scanner  sse.Scanner
+	headSent bool // the head was sent to the caller
+	control  *http.ResponseController
 }
 
-// streamBuffer is the size of a read of a stream in bytes.
-const streamBuffer = 2048
+// streamReadBytes is the buffer size for reads of a stream.
+const streamReadBytes = 2048
 
-// passStream passes whole events on as they come. If the target breaks off, the
-// caller's answer is left open, so that another target may go on.
-func (c *call) passStream(ctx context.Context, resp *http.Response) (result, error) {
-	q := c.request
+// forwardStream forwards complete events as they arrive. If the target breaks off, the
+// caller's response stays open, so that another target can resume the stream.
+func (a *attempt) forwardStream(ctx context.Context, resp *http.Response) (result, error) {
+	q := a.request
 	if q.stream == nil {
 		q.stream = &stream{control: http.NewResponseController(q.w)}
 	}
 	s := q.stream
 	s.scanner.DropPartial()
 	var pending []byte
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamReadBytes)
 	for {
 		n, err := resp.Body.Read(buffer)
 		if n > 0 {
-			c.target.RecordActivity(time.Now())
+			a.target.RecordActivity(time.Now())
 			data := buffer[:n]
 			before := s.scanner.Events()
-			whole := s.scanner.Scan(data)
-			c.noteEvents(s.scanner.Events() - before)
-			if whole > 0 {
-				if werr := c.awaitCaller(func() error { return q.sendEvents(resp, pending, data[:whole]) }); werr != nil {
-					c.conn.Finish(false)
+			complete := s.scanner.Scan(data)
+			a.countEvents(s.scanner.Events() - before)
+			if complete > 0 {
+				if werr := a.sendToCaller(func() error { return q.sendEvents(resp, pending, data[:complete]) }); werr != nil {
+					a.conn.Finish(false)
 					return callerGone, werr
 				}
 				pending = pending[:0]
 			}
-			c.silence.heard()
-			pending = append(pending, data[whole:]...)
+			a.silence.restart()
+			pending = append(pending, data[complete:]...)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return c.endStream(ctx, resp, pending)
+			return a.endStream(ctx, resp, pending)
 		case err != nil:
-			c.conn.Finish(false)
-			return c.ended(ctx, c.silence.result(broken), fmt.Errorf("stream broke off: %w", err))
+			a.conn.Finish(false)
+			return a.adjustResult(ctx, a.silence.result(broken), fmt.Errorf("target broke the stream off: %w", err))
 		}
 	}
 }
 
-// endStream ends the caller's answer when the target ended its own whole.
-func (c *call) endStream(ctx context.Context, resp *http.Response, pending []byte) (result, error) {
-	q := c.request
+// endStream checks that the target's stream ended after a complete event, and completes the
+// caller's response.
+func (a *attempt) endStream(ctx context.Context, resp *http.Response, pending []byte) (result, error) {
+	q := a.request
 	if len(pending) > 0 {
-		c.conn.Finish(false)
-		return c.ended(ctx, broken, errors.New("stream ended inside an event"))
+		a.conn.Finish(false)
+		return a.adjustResult(ctx, broken, errors.New("target ended the stream inside an event"))
 	}
-	if !q.stream.begun {
-		q.beginStream(resp)
+	if !q.stream.headSent {
+		q.sendStreamHead(resp)
 	}
-	c.conn.Finish(true)
+	a.conn.Finish(true)
 	return delivered, nil
 }
 
-// beginStream passes the head of the first target's answer on.
-func (q *request) beginStream(resp *http.Response) {
+// sendStreamHead sends the head of the first target's response to the caller.
+func (q *request) sendStreamHead(resp *http.Response) {
 	q.handler.copyHead(q.w, resp)
 	q.w.WriteHeader(resp.StatusCode)
-	q.stream.begun = true
-	q.end.Status = resp.StatusCode
-	q.end.FirstByte = time.Since(q.arrived)
+	q.stream.headSent = true
+	q.outcome.Status = resp.StatusCode
+	q.outcome.FirstByte = time.Since(q.arrived)
 }
 
-// sendEvents passes whole events on at once.
+// sendEvents sends complete events to the caller and flushes them.
 func (q *request) sendEvents(resp *http.Response, pending, data []byte) error {
-	if !q.stream.begun {
-		q.beginStream(resp)
+	if !q.stream.headSent {
+		q.sendStreamHead(resp)
 	}
-	q.end.Events = q.stream.scanner.Events()
-	return q.passPiece(len(pending)+len(data), func() error {
+	q.outcome.Events = q.stream.scanner.Events()
+	return q.writeToCaller(len(pending)+len(data), func() error {
 		if len(pending) > 0 {
 			if _, err := q.w.Write(pending); err != nil {
 				return err
--- /dev/null
+++ b/router/forward/targetexit.go
@@ -0,0 +1,144 @@
+package forward
+
+import (
+	"context"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"maststage.dev/lib/guard"
+	"maststage.dev/router/httpconn"
+	"maststage.dev/router/quarantine"
+)
+
+// content returns what identifies equal requests to the quarantine.
+func (q *request) content() quarantine.Content {
+	c := quarantine.Content{Method: q.r.Method, Host: q.r.Host, URI: q.r.RequestURI, Body: q.body}
+	if q.organisation != nil {
+		c.Organisation = q.organisation.Name
+	}
+	return c
+}
+
+// provesRun reports whether a response, once complete, proves that its target ran the request
+// and survived. A failure may have been sent before the run, and without framing the target's
+// exit looks like the end of the response.
+func provesRun(resp *http.Response) bool {
+	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+	return framed && resp.StatusCode < http.StatusMultipleChoices
+}
+
+const (
+	exitProbeTimeout = time.Second
+	// exitProbeWait is how long a request waits for the probe's result before its next attempt.
+	// The probe takes one round trip, whether the target exited or only a connection broke.
+	exitProbeWait = 100 * time.Millisecond
+	// maxExitsPerRequest is how many targets may exit while running a request before this host
+	// stops retrying it. A retry by the caller counts anew, until the fleet quarantines it.
+	maxExitsPerRequest = 2
+)
+
+// probeTargetExit probes in the background whether the attempt broke off because the target
+// exited, and reports it if so. The request reads the result from exitProbe.
+func (a *attempt) probeTargetExit(res result) {
+	q := a.request
+	if !a.maybeSent || res != broken && res != cutOff {
+		return
+	}
+	exit := a.newTargetExit(time.Now())
+	probe := make(chan bool, 1)
+	q.exitProbe, q.brokeEarly = probe, quarantine.IsEarlyExit(exit.SinceFirstEvent)
+	h, t, report := q.handler, a.target, q.reportOf(exit)
+	guard.Go("target exit probe", func() {
+		ctx, cancel := context.WithTimeout(context.Background(), exitProbeTimeout)
+		defer cancel()
+		exited := h.opts.Targets.ProbeExited(ctx, t)
+		if exited {
+			h.opts.Quarantine.RecordExit(report)
+			h.opts.Observer.TargetExited(exit)
+		}
+		probe <- exited
+	})
+}
+
+// newTargetExit describes an attempt that has just broken off.
+func (a *attempt) newTargetExit(now time.Time) TargetExit {
+	q := a.request
+	exit := TargetExit{
+		RequestID: q.id, Digest: q.digest, Target: q.handler.opts.Targets.Incarnation(a.target).String(), Service: q.service,
+		Events: a.events, Duration: now.Sub(a.started),
+	}
+	if a.events > 0 {
+		exit.SinceFirstEvent = now.Sub(a.firstEvent)
+	}
+	return exit
+}
+
+func (q *request) reportOf(exit TargetExit) quarantine.Report {
+	r := quarantine.Report{
+		Digest: exit.Digest, Service: exit.Service, RequestID: exit.RequestID, Target: exit.Target, Early: quarantine.IsEarlyExit(exit.SinceFirstEvent),
+	}
+	if q.organisation != nil {
+		r.Organisation = q.organisation.Name
+	}
+	return r
+}
+
+// causedExits reports, after an attempt that broke off, whether so many targets exited while
+// running the request that it must not be retried. An exit that the request can't have caused
+// doesn't count as an attempt: else a long stream would be cut off after a few exits that
+// another request caused.
+func (q *request) causedExits() bool {
+	select {
+	case exited := <-q.exitProbe:
+		if exited && !q.brokeEarly {
+			q.uncounted++
+		}
+	case <-time.After(exitProbeWait):
+	}
+	return q.brokeEarly && q.handler.opts.Quarantine.TargetExits(q.digest) >= maxExitsPerRequest
+}
+
+// waitingAttempts holds the connections of attempts whose response has not begun, so that the
+// attempts of a request that is quarantined can be aborted: a target may not have begun to run
+// them. An entry must be removed before its connection can serve another request.
+type waitingAttempts struct {
+	mu    sync.Mutex
+	conns map[quarantine.Digest][]*httpconn.Conn
+}
+
+func newWaitingAttempts() *waitingAttempts {
+	return &waitingAttempts{conns: map[quarantine.Digest][]*httpconn.Conn{}}
+}
+
+// add registers an attempt; done removes it and may be called more than once.
+func (w *waitingAttempts) add(d quarantine.Digest, conn *httpconn.Conn) (done func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.conns[d] = append(w.conns[d], conn)
+	return func() { w.remove(d, conn) }
+}
+
+func (w *waitingAttempts) remove(d quarantine.Digest, conn *httpconn.Conn) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	rest := slices.DeleteFunc(w.conns[d], func(c *httpconn.Conn) bool { return c == conn })
+	if len(rest) == 0 {
+		delete(w.conns, d)
+		return
+	}
+	w.conns[d] = rest
+}
+
+// abort aborts the attempts of a request.
+func (w *waitingAttempts) abort(d quarantine.Digest) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, conn := range w.conns[d] {
+		conn.Abort()
+	}
+}
+
+// AbortWaiting aborts the attempts of a newly quarantined request whose response has not begun.
+func (h *Handler) AbortWaiting(d quarantine.Digest) { h.waiting.abort(d) }
--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -7,13 +7,13 @@
 	"maststage.dev/router/rollout"
 )
 
-// Rollouts keeps the versions of targets that requests may use.
+// Rollouts selects the target versions that requests may use.
 type Rollouts interface {
-	// Rule gives the versions that a request may use.
+	// Rule returns the versions that a request may use.
 	Rule(a rollout.Request) rollout.Rule
-	// Sent notes that a target of a version may have got a request.
+	// Sent records that a target of a version may have received a request.
 	Sent(a rollout.Request, version string)
-	// Ended notes how the request fared there.
+	// Ended records the result of an attempt at a target of a version.
 	Ended(a rollout.Request, version string, answer rollout.Outcome)
 }
 
@@ -24,36 +24,36 @@
 func (anyVersion) Sent(rollout.Request, string)                   {}
 func (anyVersion) Ended(rollout.Request, string, rollout.Outcome) {}
 
-// ask is what the request is to a rollout; first says that no target was tried before.
+// ask describes the request to the rollouts; first says that this is its first attempt.
 func (q *request) ask(first bool) rollout.Request {
 	return rollout.Request{Service: q.service, NotRetryable: !q.route.Repeatable(), FirstAttempt: first}
 }
 
-// leastEvents is how many events of a stream tell its pace.
-const leastEvents = 3
+// minPaceEvents is the least number of events that give a stream's pace.
+const minPaceEvents = 3
 
-// answer is what the try tells of the version of its target. The times of a cold target tell only
-// that it is cold.
-func (c *call) answer(res result, cold bool) rollout.Outcome {
-	a := rollout.Outcome{
-		Route: c.request.route.Name, Domain: c.target.Domain, Target: c.target.ID, NotSent: res == notSent,
+// rolloutAnswer returns what the attempt shows about its target's version. The timings of a cold
+// target are left out: they show only that it is cold.
+func (a *attempt) rolloutAnswer(res result, cold bool) rollout.Outcome {
+	answer := rollout.Outcome{
+		Route: a.request.route.Name, Domain: a.target.Domain, Target: a.target.ID, NotSent: res == notSent,
 	}
 	switch res {
 	case refused, callerGone:
-		a.Inconclusive = true
+		answer.Inconclusive = true
 	case outOfTime:
-		a.Inconclusive, a.Failed = c.status != 0, c.status == 0
+		answer.Inconclusive, answer.Failed = a.status != 0, a.status == 0
 	case delivered:
-		a.Failed = c.status >= http.StatusInternalServerError
+		answer.Failed = a.status >= http.StatusInternalServerError
 	default:
-		a.Failed = true
+		answer.Failed = true
 	}
 	if cold {
-		return a
+		return answer
 	}
-	a.FirstByte = c.begins
-	if c.events >= leastEvents {
-		a.EventInterval = (c.last.Sub(c.first) - c.unread) / time.Duration(c.events-1)
+	answer.FirstByte = a.timeToFirstByte
+	if a.events >= minPaceEvents {
+		answer.EventInterval = (a.lastEvent.Sub(a.firstEvent) - a.pastCallerDelay) / time.Duration(a.events-1)
 	}
-	return a
+	return answer
 }
