--- a/router/forward/attempt.go
+++ b/router/forward/attempt.go
@@ -25,9 +25,9 @@
 	work := float64(q.usage.in)
 	targets := q.handler.opts.Targets
 	targets.BeginRequest(t, work)
-	a := &attempt{request: q, target: t, started: started, work: work, ask: q.ask(len(q.excluded) == 0)}
+	a := &attempt{request: q, target: t, started: started, work: work, rolloutRequest: q.rolloutRequest(len(q.excluded) == 0)}
 	res, err := a.do(ctx)
-	q.handler.opts.Rollouts.Ended(a.ask, t.Version, a.rolloutAnswer(res, targets.IsCold(t)))
+	q.handler.opts.Rollouts.Ended(a.rolloutRequest, t.Version, a.rolloutOutcome(res, targets.IsCold(t)))
 	if a.connectionSilent(res) {
 		t.Pool.CloseIdle()
 	}
@@ -58,7 +58,7 @@
 	reused          bool           // it had carried responses before
 	started         time.Time
 	work            float64 // prompt tokens counted as the target's load until it responds
-	ask             rollout.Request
+	rolloutRequest  rollout.Request
 	timeToFirstByte time.Duration // 0 if the response did not begin
 	firstEvent      time.Time     // when the first event arrived
 	lastEvent       time.Time     // when the newest event arrived
@@ -149,7 +149,7 @@
 	a.maybeSent = true
 	a.request.attempts++
 	a.request.possibleRuns++
-	a.request.handler.opts.Rollouts.Sent(a.ask, a.target.Version)
+	a.request.handler.opts.Rollouts.Sent(a.rolloutRequest, a.target.Version)
 }
 
 // defaultDeadline is sent to the target when neither caller nor route sets a deadline.
--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -36,7 +36,7 @@
 		q.mayHaveTokens = true
 	}
 	if res == delivered && a.events > 0 {
-		q.handler.opts.Meter.Observe(q.service, a.firstEvent.Sub(a.started), a.lastEvent.Sub(a.firstEvent), a.events)
+		q.handler.opts.StreamPace.Observe(q.service, a.firstEvent.Sub(a.started), a.lastEvent.Sub(a.firstEvent), a.events)
 		return
 	}
 	if tokens := a.maxUndelivered(time.Now()); tokens > 0 {
@@ -48,7 +48,7 @@
 // maxUndelivered returns the most tokens that the target may have generated but not delivered.
 func (a *attempt) maxUndelivered(now time.Time) int64 {
 	q := a.request
-	events, known := q.handler.opts.Meter.MaxUndelivered(q.service, now.Sub(a.started), a.events)
+	events, known := q.handler.opts.StreamPace.MaxUndelivered(q.service, now.Sub(a.started), a.events)
 	if !known || q.engine.Stride <= 0 {
 		return q.usage.out
 	}
--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -35,10 +35,10 @@
 	return how
 }
 
-// teachPace makes the meter learn that pace.
+// teachPace makes the estimator learn that pace.
 func (f *fixture) teachPace() {
 	for range 30 {
-		f.meter.Observe("engine", firstEvent, 10*eventGap, 11)
+		f.streamPace.Observe("engine", firstEvent, 10*eventGap, 11)
 	}
 }
 
@@ -103,7 +103,7 @@
 	f := newFixture(t)
 	f.creditBudget()
 	for range 30 {
-		f.meter.Observe("engine", time.Minute, 2*time.Second, 11)
+		f.streamPace.Observe("engine", time.Minute, 2*time.Second, 11)
 	}
 	f.add("e1", "engine", backend.Behaviour{Status: 500, Body: "no"})
 	f.do(f.ask("/once/x"))
--- a/router/forward/handler.go
+++ b/router/forward/handler.go
@@ -28,24 +28,24 @@
 
 // Quarantine blocks requests that crash targets; *quarantine.Guard implements it.
 type Quarantine interface {
-	// Held reports whether a request must not be sent.
+	// IsQuarantined reports whether a request must not be sent.
 	IsQuarantined(d quarantine.Digest) bool
-	// Ends returns the number of target exits that this host attributes to a request.
+	// TargetExits returns the number of target exits that this host attributes to a request.
 	TargetExits(d quarantine.Digest) int
-	// Broke records that a request broke off because its target exited.
+	// RecordExit records that a request broke off because its target exited.
 	RecordExit(r quarantine.Report)
-	// Whole records that a target ran a request to completion.
+	// RecordCompletion records that a target ran a request to completion.
 	RecordCompletion(d quarantine.Digest)
 }
 
 // Options configure a Handler.
 type Options struct {
-	Names    Headers
-	Targets  *target.Registry
-	Budgets  Budgets
-	Retries  *retrybudget.Set
-	Meter    *streampace.Estimator
-	Overload *overload.Monitor
+	Names      Headers
+	Targets    *target.Registry
+	Budgets    Budgets
+	Retries    *retrybudget.Set
+	StreamPace *streampace.Estimator
+	Overload   *overload.Monitor
 	// Quarantine is consulted before each attempt and notified of its result.
 	Quarantine Quarantine
 	Observer   Observer
--- a/router/forward/harness_test.go
+++ b/router/forward/harness_test.go
@@ -129,21 +129,21 @@
 
 // fixture is a handler with a caller and backends.
 type fixture struct {
-	t        *testing.T
-	is       *is.I
-	handler  *Handler
-	server   *httptest.Server
-	targets  *target.Registry
-	budgets  *fakeBudgets
-	recorder *recorder
-	meter    *streampace.Estimator
-	overload *overload.Monitor
-	unread   *unread.Tracker
-	guard    *quarantine.Guard
-	backends map[string]*backend.Backend
-	draining atomic.Bool
-	admits   atomic.Bool
-	nextID   int
+	t          *testing.T
+	is         *is.I
+	handler    *Handler
+	server     *httptest.Server
+	targets    *target.Registry
+	budgets    *fakeBudgets
+	recorder   *recorder
+	streamPace *streampace.Estimator
+	overload   *overload.Monitor
+	unread     *unread.Tracker
+	guard      *quarantine.Guard
+	backends   map[string]*backend.Backend
+	draining   atomic.Bool
+	admits     atomic.Bool
+	nextID     int
 }
 
 const testConfig = `{"version":7,
@@ -158,7 +158,7 @@
  "organisations":[{"name":"org","keys":["k1","k2"],"priority":1}]}`
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{t: t, is: is.New(t), recorder: &recorder{}, meter: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
+	f := &fixture{t: t, is: is.New(t), recorder: &recorder{}, streamPace: streampace.New(), overload: overload.New(), unread: unread.New(1<<20, func() {}), budgets: &fakeBudgets{}, backends: map[string]*backend.Backend{}}
 	f.admits.Store(true)
 	f.targets = target.NewRegistry(target.Options{
 		Domain: "z1", DrainLimit: time.Second, DialTimeout: 200 * time.Millisecond, IdleTimeout: time.Minute, MaxIdle: 8,
@@ -172,7 +172,7 @@
 	f.guard.SetPeers(noPeers{})
 	f.handler = New(Options{
 		Quarantine: f.guard, Unread: f.unread,
-		Names: testHeaders, Targets: f.targets, Budgets: f.budgets, Observer: f.recorder, Meter: f.meter, Overload: f.overload,
+		Names: testHeaders, Targets: f.targets, Budgets: f.budgets, Observer: f.recorder, StreamPace: f.streamPace, Overload: f.overload,
 		Retries:          retrybudget.NewSet(retrybudget.Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}, one, time.Time{}),
 		CloseConnections: func() bool { return f.draining.Load() || f.overload.IsUnready(time.Now()) }, MayBegin: f.mayBegin,
 	})
--- a/router/forward/run.go
+++ b/router/forward/run.go
@@ -157,7 +157,7 @@
 func (q *request) chooseTarget(excluded map[string]bool) *target.Target {
 	targets := q.handler.opts.Targets
 	req := q.requirements(excluded)
-	req.Versions = q.handler.opts.Rollouts.Rule(q.ask(len(excluded) == 0))
+	req.Versions = q.handler.opts.Rollouts.Rule(q.rolloutRequest(len(excluded) == 0))
 	t := targets.Choose(req)
 	if t == nil && req.Versions.Only != "" {
 		t = targets.Choose(q.requirements(excluded))
@@ -170,7 +170,7 @@
 	return target.Requirements{
 		Service: q.service, Affinity: sharedPrefix(q.promptParts), PromptTokens: float64(q.usage.in), Exclude: excluded,
 		Priority: q.priority(),
-		Regions:  q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.ask(false)),
+		Regions:  q.regions(), Versions: q.handler.opts.Rollouts.Rule(q.rolloutRequest(false)),
 	}
 }
 
--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -10,11 +10,11 @@
 // Rollouts selects the target versions that requests may use.
 type Rollouts interface {
 	// Rule returns the versions that a request may use.
-	Rule(a rollout.Request) rollout.Rule
+	Rule(r rollout.Request) rollout.Rule
 	// Sent records that a target of a version may have received a request.
-	Sent(a rollout.Request, version string)
+	Sent(r rollout.Request, version string)
 	// Ended records the result of an attempt at a target of a version.
-	Ended(a rollout.Request, version string, answer rollout.Outcome)
+	Ended(r rollout.Request, version string, outcome rollout.Outcome)
 }
 
 // anyVersion allows all versions.
@@ -24,36 +24,36 @@
 func (anyVersion) Sent(rollout.Request, string)                   {}
 func (anyVersion) Ended(rollout.Request, string, rollout.Outcome) {}
 
-// ask describes the request to the rollouts; first says that this is its first attempt.
-func (q *request) ask(first bool) rollout.Request {
+// rolloutRequest describes the request to the rollouts; first says that this is its first attempt.
+func (q *request) rolloutRequest(first bool) rollout.Request {
 	return rollout.Request{Service: q.service, NotRetryable: !q.route.Repeatable(), FirstAttempt: first}
 }
 
 // minPaceEvents is the least number of events that give a stream's pace.
 const minPaceEvents = 3
 
-// rolloutAnswer returns what the attempt shows about its target's version. The timings of a cold
+// rolloutOutcome returns what the attempt shows about its target's version. The timings of a cold
 // target are left out: they show only that it is cold.
-func (a *attempt) rolloutAnswer(res result, cold bool) rollout.Outcome {
-	answer := rollout.Outcome{
+func (a *attempt) rolloutOutcome(res result, cold bool) rollout.Outcome {
+	outcome := rollout.Outcome{
 		Route: a.request.route.Name, Domain: a.target.Domain, Target: a.target.ID, NotSent: res == notSent,
 	}
 	switch res {
 	case refused, callerGone:
-		answer.Inconclusive = true
+		outcome.Inconclusive = true
 	case outOfTime:
-		answer.Inconclusive, answer.Failed = a.status != 0, a.status == 0
+		outcome.Inconclusive, outcome.Failed = a.status != 0, a.status == 0
 	case delivered:
-		answer.Failed = a.status >= http.StatusInternalServerError
+		outcome.Failed = a.status >= http.StatusInternalServerError
 	default:
-		answer.Failed = true
+		outcome.Failed = true
 	}
 	if cold {
-		return answer
+		return outcome
 	}
-	answer.FirstByte = a.timeToFirstByte
+	outcome.FirstByte = a.timeToFirstByte
 	if a.events >= minPaceEvents {
-		answer.EventInterval = (a.lastEvent.Sub(a.firstEvent) - a.pastCallerDelay) / time.Duration(a.events-1)
+		outcome.EventInterval = (a.lastEvent.Sub(a.firstEvent) - a.pastCallerDelay) / time.Duration(a.events-1)
 	}
-	return answer
+	return outcome
 }
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -139,7 +139,7 @@
 	n.unread = unread.New(int64(cfg.Callers.UnreadBytes), func() { n.observer.Count("callers_cut_total") })
 	n.handler = forward.New(forward.Options{
 		Names: env.Headers, Targets: n.targets, Budgets: n.treasury, Retries: n.retries,
-		Meter: streampace.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
+		StreamPace: streampace.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
 		Observer: n.observer, CloseConnections: n.leaving, MayBegin: n.admits, Suspended: n.suspendedTime, Rollouts: n.rollouts,
 	})
 	n.suspensions = suspend.New(clocks, n.resumed)
