--- a/router/forward/targetexit.go
+++ b/router/forward/targetexit.go
@@ -50,7 +50,7 @@
 	probe := make(chan bool, 1)
 	q.exitProbe, q.brokeEarly = probe, quarantine.IsEarlyExit(exit.SinceFirstEvent)
 	h, t, report := q.handler, a.target, q.reportOf(exit)
-	guard.Go("target exit probe", func() {
+	guard.Go("target's end", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), exitProbeTimeout)
 		defer cancel()
 		exited := h.opts.Targets.ProbeExited(ctx, t)
