--- a/cmd/maststage-router/main.go
+++ b/cmd/maststage-router/main.go
@@ -82,7 +82,7 @@
 // at once.
 func serve(cfg *settings.Settings, path string) error {
 	incarnation := strconv.FormatInt(time.Now().UnixNano(), 36)
-	n := node.New(cfg, platform.Outside(cfg.Log.Address, cfg.Log.RecordBytes), incarnation)
+	n := node.New(cfg, platform.Environment(cfg.Log.Address, cfg.Log.RecordBytes), incarnation)
 	log.WithFields(log.Fields{"incarnation": incarnation, "domain": cfg.Host.Domain}).Info("start")
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/proofs/soak/account_test.go
+++ b/proofs/soak/account_test.go
@@ -105,7 +105,7 @@
 // checkAccount compares an account with the store's record and with what targets made.
 func (w *world) checkAccount(s account.Sum) {
 	record := prepaid.Account{}
-	budgets := platform.Outside(w.hosts[0].store.Address(), 0).BudgetsTopic
+	budgets := platform.Environment(w.hosts[0].store.Address(), 0).BudgetsTopic
 	for number := range logPartitions {
 		if rec, ok := w.log.Get(eventlog.Partition{Topic: budgets, Number: number}, s.Organisation); ok {
 			decoded, err := prepaid.DecodeAccount(rec.Value)
