--- a/router/logcount/logcount.go
+++ b/router/logcount/logcount.go
@@ -114,8 +114,8 @@
 	return maps.Clone(l.counts)
 }
 
-// Tell writes a line for each key, all since the start, in the same order each time.
-func (l *Log) Tell() {
+// LogCounts writes a line for each key, all since the start, in the same order each time.
+func (l *Log) LogCounts() {
 	counts := l.Counts()
 	keys := slices.SortedFunc(maps.Keys(counts), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(a.Topic, b.Topic), cmp.Compare(a.Call, b.Call), cmp.Compare(a.Outcome, b.Outcome))
--- a/router/logcount/logcount_test.go
+++ b/router/logcount/logcount_test.go
@@ -32,5 +32,5 @@
 		{"t", "read", OK}: {Calls: 1, Bytes: 8}, {"t", "newest", Refused}: {Calls: 1},
 	})
 	is.Equal(told, 4)
-	counted.Tell()
+	counted.LogCounts()
 }
--- a/router/node/balances.go
+++ b/router/node/balances.go
@@ -40,7 +40,7 @@
 			return
 		case <-tick.C:
 			n.balances.write(n.treasury.Holdings())
-			n.calls.Tell()
+			n.calls.LogCounts()
 		}
 	}
 }
