--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -11,7 +11,7 @@
 // registerGauges registers the gauges of the node's components, which are read on each scrape.
 func (n *Node) registerGauges() {
 	n.observer.Holdings(n.treasury.Holdings)
-	n.observer.Limits(n.targets.Limits)
+	n.observer.RegisterLimits(n.targets.Limits)
 	n.observer.Gauge("open_requests", func() float64 { return float64(n.handler.InFlight()) })
 	n.observer.Gauge("unread_bytes", func() float64 { return float64(n.unread.Held()) })
 	n.observer.Gauge("hosts", func() float64 { return float64(n.fleet.Size()) })
--- a/router/observe/limits.go
+++ b/router/observe/limits.go
@@ -15,8 +15,8 @@
 // maxLimits bounds the targets with gauges of their limits.
 const maxLimits = 1000
 
-// Limits adds gauges of the targets that name a limit, read when the metrics are.
-func (o *Observer) Limits(f func() []target.LimitStatus) { o.limits = f }
+// RegisterLimits adds gauges of the targets that name a limit, read when the metrics are.
+func (o *Observer) RegisterLimits(f func() []target.LimitStatus) { o.limits = f }
 
 // writeLimits prints the gauges of the targets' limits.
 func (o *Observer) writeLimits(w io.Writer) {
