--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -133,8 +133,8 @@
 // Gauge adds a gauge that is read when the metrics are.
 func (o *Observer) Gauge(name string, f func() float64) { o.set.NewGauge("maststage_"+name, f) }
 
-// Holdings adds gauges of the host's part of each budget, read when the metrics are.
-func (o *Observer) Holdings(f func() []prepaid.Holding) { o.holdings = f }
+// RegisterHoldings adds gauges of the host's part of each budget, read when the metrics are.
+func (o *Observer) RegisterHoldings(f func() []prepaid.Holding) { o.holdings = f }
 
 // maxBudgets bounds the budgets with gauges of their own.
 const maxBudgets = 1000
