--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -12,19 +12,19 @@
 func (n *Node) registerGauges() {
 	n.observer.RegisterHoldings(n.treasury.Holdings)
 	n.observer.RegisterLimits(n.targets.Limits)
-	n.observer.Gauge("open_requests", func() float64 { return float64(n.handler.InFlight()) })
-	n.observer.Gauge("unread_bytes", func() float64 { return float64(n.unread.Held()) })
-	n.observer.Gauge("hosts", func() float64 { return float64(n.fleet.Size()) })
-	n.observer.Gauge("targets_ready", func() float64 { return float64(n.targets.TotalReady()) })
+	n.observer.RegisterGauge("open_requests", func() float64 { return float64(n.handler.InFlight()) })
+	n.observer.RegisterGauge("unread_bytes", func() float64 { return float64(n.unread.Held()) })
+	n.observer.RegisterGauge("hosts", func() float64 { return float64(n.fleet.Size()) })
+	n.observer.RegisterGauge("targets_ready", func() float64 { return float64(n.targets.TotalReady()) })
 	for topic, c := range map[string]*replica.Replica{
 		n.env.ConfigTopic: n.configReplica, n.env.TargetsTopic: n.targetsReplica, n.env.HostsTopic: n.hostsReplica,
 	} {
-		n.observer.Gauge(fmt.Sprintf("copy_end{topic=%q}", topic), func() float64 { return float64(c.End()) })
-		n.observer.Gauge(fmt.Sprintf("copy_age_seconds{topic=%q}", topic), func() float64 { return replicaAge(c) })
+		n.observer.RegisterGauge(fmt.Sprintf("copy_end{topic=%q}", topic), func() float64 { return float64(c.End()) })
+		n.observer.RegisterGauge(fmt.Sprintf("copy_age_seconds{topic=%q}", topic), func() float64 { return replicaAge(c) })
 	}
-	n.observer.Gauge("quarantine_entries", func() float64 { return float64(n.guard.Len()) })
-	n.observer.Gauge("domains_evacuated", func() float64 { return float64(n.targets.CountEvacuatedDomains()) })
-	n.observer.Gauge("config_version", func() float64 {
+	n.observer.RegisterGauge("quarantine_entries", func() float64 { return float64(n.guard.Len()) })
+	n.observer.RegisterGauge("domains_evacuated", func() float64 { return float64(n.targets.CountEvacuatedDomains()) })
+	n.observer.RegisterGauge("config_version", func() float64 {
 		if c := n.handler.Config(); c != nil {
 			return float64(c.Version)
 		}
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -130,8 +130,8 @@
 // Add adds so much to a counter.
 func (o *Observer) Add(name string, n int) { o.set.GetOrCreateCounter("maststage_" + name).Add(n) }
 
-// Gauge adds a gauge that is read when the metrics are.
-func (o *Observer) Gauge(name string, f func() float64) { o.set.NewGauge("maststage_"+name, f) }
+// RegisterGauge adds a gauge that is read when the metrics are.
+func (o *Observer) RegisterGauge(name string, f func() float64) { o.set.NewGauge("maststage_"+name, f) }
 
 // RegisterHoldings adds gauges of the host's part of each budget, read when the metrics are.
 func (o *Observer) RegisterHoldings(f func() []prepaid.Holding) { o.holdings = f }
