--- a/router/settings/settings.go
+++ b/router/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings of a router.
+// Package settings loads and validates the settings file of a router.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"maststage.dev/lib/settings"
 )
 
-// Settings are all of them, a struct for each section.
+// Settings has one struct for each section of the file.
 type Settings struct {
 	Host    Host    `ini:"host"`
 	Log     Log     `ini:"log"`
@@ -22,7 +22,8 @@
 	Output  Output  `ini:"output"`
 }
 
-// Load reads and checks the file at path. An error names section, key and reason.
+// Load reads and validates the file at path. Errors on a value name its section, its key and
+// the reason.
 func Load(path string) (*Settings, error) {
 	s := &Settings{}
 	if err := settings.Load(path, s); err != nil {
@@ -43,26 +44,26 @@
 	return nil
 }
 
-func bad(section, key, value, reason string) error {
+func invalidValue(section, key, value, reason string) error {
 	return fmt.Errorf("section [%s]: key %q: %q %s", section, key, value, reason)
 }
 
 func checkAddress(section, key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return bad(section, key, value, "is not an address such as 10.0.0.1:7000")
+		return invalidValue(section, key, value, "is not an address such as 10.0.0.1:7000")
 	}
 	return nil
 }
 
-// Milliseconds turns a number of the settings into a duration.
+// Milliseconds converts a settings value in milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds turns a number of the settings into a duration.
+// Seconds converts a settings value in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 func checkLevel(level string) error {
 	if _, err := log.ParseLevel(level); err != nil {
-		return bad("output", "level", level, "is not a level such as info")
+		return invalidValue("output", "level", level, "is not a log level such as info")
 	}
 	return nil
 }
--- a/router/settings/settings_test.go
+++ b/router/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `[host]
+const validSettings = `[host]
 name = h1
 domain = z1
 listen = 10.0.0.1:80
@@ -33,9 +33,9 @@
 	return Load(path)
 }
 
-func TestGoodSettings(t *testing.T) {
+func TestLoadValidSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := load(t, good)
+	s, err := load(t, validSettings)
 	is.NoErr(err)
 	is.Equal(s.Host.Seeds, []string{"10.0.0.1:82", "10.0.0.2:82"})
 	is.Equal(s.Host.RegionOf(), map[string]string{"z1": "north", "z2": "south"})
@@ -44,38 +44,38 @@
 	is.Equal(s.Host.MetricsListen, "")
 }
 
-// A bad value names section, key and reason.
-func TestBadSettings(t *testing.T) {
+// The error on an invalid value names section, key and reason.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"missing key", "name = h1\n", "", `section [host]: key "name" is missing`},
 		{"unknown key", "domain = z1", "domain = z1\nzoo = 1", `section [host]: key "zoo" is not known`},
 		{"unknown section", "[log]", "[lag]\nx=1\n[log]", "section [lag]: not known"},
 		{"bad address", "10.0.0.1:81", "localhost:81", `section [host]: key "ready_listen": "localhost:81" is not an address`},
 		{"bad number", "partitions =", "partitions = many", `section [log]: key "partitions": "many" is not a whole number`},
-		{"domain without a region", "z2=south", "z2", `section [host]: key "regions": "z2" is not a failure domain and its region`},
+		{"failure domain without a region", "z2=south", "z2", `section [host]: key "regions": "z2" is not a failure domain and its region`},
 		{"too few partitions", "partitions =", "partitions = 0", `section [log]: key "partitions"`},
 		{"negative", "partitions =", "[bounds]\nretry_ratio = -1", `section [bounds]: key "retry_ratio": "-1" is not a number from 0`},
-		{"no window", "partitions =", "[bounds]\nretry_window_s = 0", `section [bounds]: key "retry_window_s"`},
-		{"nothing for cold targets", "partitions =", "[bounds]\ncold_overrun = 0", `section [bounds]: key "cold_overrun": "0" is not above 0`},
-		{"nothing held", "partitions =", "[callers]\nunread_bytes = 0", `section [callers]: key "unread_bytes": "0" is not above 0`},
-		{"less than the limit", "partitions =", "[bounds]\nlimit_overrun = 0.5", `section [bounds]: key "limit_overrun": "0.5" is less than 1`},
-		{"no window of limits", "partitions =", "[bounds]\nlimit_window_s = 0", `section [bounds]: key "limit_window_s": "0" is not above 0`},
+		{"zero retry window", "partitions =", "[bounds]\nretry_window_s = 0", `section [bounds]: key "retry_window_s"`},
+		{"zero cold overrun", "partitions =", "[bounds]\ncold_overrun = 0", `section [bounds]: key "cold_overrun": "0" is not above 0`},
+		{"zero unread bytes", "partitions =", "[callers]\nunread_bytes = 0", `section [callers]: key "unread_bytes": "0" is not above 0`},
+		{"limit overrun below 1", "partitions =", "[bounds]\nlimit_overrun = 0.5", `section [bounds]: key "limit_overrun": "0.5" is less than 1`},
+		{"zero limit window", "partitions =", "[bounds]\nlimit_window_s = 0", `section [bounds]: key "limit_window_s": "0" is not above 0`},
 		{"negative time", "partitions =", "[bounds]\nevacuate_ms = -1", `section [bounds]: key "evacuate_ms": "-1" is not a number from 0`},
-		{"too large a part", "partitions =", "[budgets]\nkeeper_part = 1.5", `section [budgets]: key "keeper_part": "1.5" is more than all`},
-		{"bad level", "partitions =", "[output]\nlevel = loud", `section [output]: key "level": "loud" is not a level`},
+		{"share above 1", "partitions =", "[budgets]\nkeeper_part = 1.5", `section [budgets]: key "keeper_part": "1.5" is more than 1`},
+		{"bad level", "partitions =", "[output]\nlevel = loud", `section [output]: key "level": "loud" is not a log level`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := load(t, strings.Replace(good, c.from, c.to, 1))
+			_, err := load(t, strings.Replace(validSettings, c.from, c.to, 1))
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
 }
 
-// The commented settings show every key with its default.
-func TestShownDefaults(t *testing.T) {
+// The sample file lists every key, commented out, with its default.
+func TestSampleFileShowsEveryDefault(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../config/router.ini")
 	is.NoErr(err)
