--- a/router/observe/limits.go
+++ b/router/observe/limits.go
@@ -12,13 +12,12 @@
 	"maststage.dev/router/target"
 )
 
-// maxLimits bounds the targets with gauges of their limits.
-const maxLimits = 1000
+// maxLimitGauges bounds the number of targets whose limits are exported, and so the size of the output.
+const maxLimitGauges = 1000
 
-// RegisterLimits adds gauges of the targets that name a limit, read when the metrics are.
+// RegisterLimits exports gauges for the targets that announce a rate limit; f is called at each scrape.
 func (o *Observer) RegisterLimits(f func() []target.LimitStatus) { o.limits = f }
 
-// writeLimits prints the gauges of the targets' limits.
 func (o *Observer) writeLimits(w io.Writer) {
 	if o.limits == nil {
 		return
@@ -26,7 +25,7 @@
 	list := o.limits()
 	metrics.WriteGaugeUint64(w, "maststage_targets_limited", uint64(len(list)))
 	slices.SortFunc(list, func(a, b target.LimitStatus) int { return strings.Compare(a.Target, b.Target) })
-	for _, l := range list[:min(len(list), maxLimits)] {
+	for _, l := range list[:min(len(list), maxLimitGauges)] {
 		label := fmt.Sprintf("{target=%q,service=%q}", l.Target, l.Service)
 		metrics.WriteGaugeFloat64(w, "maststage_target_limit_per_second"+label, l.PerSecond)
 		metrics.WriteGaugeFloat64(w, "maststage_target_limit_share_per_second"+label, l.Share)
--- a/router/observe/observe.go
+++ b/router/observe/observe.go
@@ -1,4 +1,4 @@
-// Package observe logs and counts what the router decides.
+// Package observe writes log lines and metrics about the outcome of requests and attempts.
 package observe
 
 import (
@@ -28,10 +28,10 @@
 	failures  *logging.Limiter
 }
 
-// successShare is the part of the lines that requests which went well get.
+// successShare is the share of the line rate that successful requests get.
 const successShare = 0.25
 
-// New makes an observer that writes at most lines a second.
+// New returns an Observer that logs at most the given number of lines a second.
 func New(lines float64) *Observer {
 	return &Observer{
 		set:       metrics.NewSet(),
@@ -40,8 +40,9 @@
 	}
 }
 
-// allow gives a logger if a line may be written.
-func allow(l *logging.Limiter) (*log.Entry, bool) {
+// newEntry returns a log entry if l permits another line. The entry carries the number of lines
+// skipped before it.
+func newEntry(l *logging.Limiter) (*log.Entry, bool) {
 	ok, skipped := l.Allow(time.Now())
 	if !ok {
 		return nil, false
@@ -53,37 +54,37 @@
 	return entry, true
 }
 
-// AttemptEnded logs a try that did not bring the answer.
+// AttemptEnded counts an attempt and logs it if it failed.
 func (o *Observer) AttemptEnded(t forward.Attempt) {
 	o.set.GetOrCreateCounter(fmt.Sprintf("maststage_tries_total{result=%q}", t.Result)).Inc()
 	if t.Err == nil {
 		return
 	}
-	entry, ok := allow(o.failures)
+	entry, ok := newEntry(o.failures)
 	if !ok {
 		return
 	}
 	entry.WithFields(log.Fields{
 		"request": t.RequestID, "try": t.Number, "target": t.Target, "domain": t.Domain, "result": t.Result,
 		"status": t.Status, "behind": t.ResumedAfter, "took": t.Duration.Round(time.Millisecond),
-	}).WithError(t.Err).Info("try failed")
+	}).WithError(t.Err).Info("attempt failed")
 }
 
-// TargetExited logs and counts a try that broke off because its target ended. Lines of the same
-// digest at several targets tell which request may have brought the ends about.
+// TargetExited logs and counts an attempt that failed because its target exited. The same digest
+// in lines of several targets points to the request that may have caused the exits.
 func (o *Observer) TargetExited(b forward.TargetExit) {
 	o.Count(fmt.Sprintf("broken_by_ends_total{service=%q}", b.Service))
-	entry, ok := allow(o.failures)
+	entry, ok := newEntry(o.failures)
 	if !ok {
 		return
 	}
 	entry.WithFields(log.Fields{
 		"request": b.RequestID, "digest": b.Digest, "target": b.Target, "service": b.Service,
 		"events": b.Events, "took": b.Duration.Round(time.Millisecond), "ran": b.SinceFirstEvent.Round(time.Millisecond),
-	}).Info("broken by the target's end")
+	}).Info("target exited during the attempt")
 }
 
-// RequestEnded logs and counts a request.
+// RequestEnded logs a finished request and updates its metrics.
 func (o *Observer) RequestEnded(e forward.Outcome) {
 	labels := fmt.Sprintf("organisation=%q,service=%q", e.Organisation, e.Service)
 	o.set.GetOrCreateHistogram("maststage_request_seconds{" + labels + "}").Update(e.Duration.Seconds())
@@ -95,7 +96,7 @@
 	if e.Kind == forward.OK {
 		limiter = o.successes
 	}
-	entry, ok := allow(limiter)
+	entry, ok := newEntry(limiter)
 	if !ok {
 		return
 	}
@@ -108,7 +109,7 @@
 	if e.Kind != forward.OK && e.Digest != (quarantine.Digest{}) {
 		fields["digest"] = e.Digest
 	}
-	addBudget(fields, e.Kind, e.Budget)
+	addBudgetFields(fields, e.Kind, e.Budget)
 	entry = entry.WithFields(fields)
 	if e.Err != nil {
 		entry = entry.WithError(e.Err)
@@ -116,7 +117,7 @@
 	entry.Info("request ended")
 }
 
-func addBudget(fields log.Fields, kind forward.Kind, h prepaid.Holding) {
+func addBudgetFields(fields log.Fields, kind forward.Kind, h prepaid.Holding) {
 	if kind != forward.BudgetWait && kind != forward.OverBudget {
 		return
 	}
@@ -124,29 +125,29 @@
 	fields["budget_granted"], fields["budget_limit"], fields["budget_offset"] = h.Granted, h.Limit, h.Offset
 }
 
-// Count adds to a counter.
+// Count increments the counter maststage_name.
 func (o *Observer) Count(name string) { o.set.GetOrCreateCounter("maststage_" + name).Inc() }
 
-// Add adds so much to a counter.
+// Add adds n to the counter maststage_name.
 func (o *Observer) Add(name string, n int) { o.set.GetOrCreateCounter("maststage_" + name).Add(n) }
 
-// RegisterGauge adds a gauge that is read when the metrics are.
+// RegisterGauge exports the gauge maststage_name; f is called at each scrape.
 func (o *Observer) RegisterGauge(name string, f func() float64) { o.set.NewGauge("maststage_"+name, f) }
 
-// RegisterHoldings adds gauges of the host's part of each budget, read when the metrics are.
+// RegisterHoldings exports gauges for this host's allocation of each budget; f is called at each
+// scrape.
 func (o *Observer) RegisterHoldings(f func() []prepaid.Holding) { o.holdings = f }
 
-// maxBudgets bounds the budgets with gauges of their own.
-const maxBudgets = 1000
+// maxBudgetGauges bounds the number of budgets that are exported, and so the size of the output.
+const maxBudgetGauges = 1000
 
-// writeHoldings prints the gauges of budgets.
 func (o *Observer) writeHoldings(w io.Writer) {
 	if o.holdings == nil {
 		return
 	}
 	list := o.holdings()
 	slices.SortFunc(list, func(a, b prepaid.Holding) int { return strings.Compare(a.Organisation, b.Organisation) })
-	for _, h := range list[:min(len(list), maxBudgets)] {
+	for _, h := range list[:min(len(list), maxBudgetGauges)] {
 		label := fmt.Sprintf("{organisation=%q}", h.Organisation)
 		metrics.WriteGaugeUint64(w, "maststage_budget_free_tokens"+label, uint64(max(h.Free, 0)))
 		metrics.WriteGaugeUint64(w, "maststage_budget_reserved_tokens"+label, uint64(max(h.Reserved, 0)))
@@ -155,7 +156,7 @@
 	}
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (o *Observer) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
