--- a/router/logging/limiter.go
+++ b/router/logging/limiter.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Limiter bounds the lines of one sort by a token bucket of one second.
+// Limiter limits the rate of one kind of log line by a token bucket that holds one second of lines.
 type Limiter struct {
 	perSecond float64
 
-	mu      sync.Mutex
-	tokens  float64
-	at      time.Time
-	skipped uint64
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	skipped    uint64
 }
 
-// NewLimiter makes a full bucket.
+// NewLimiter returns a Limiter with a full bucket.
 func NewLimiter(perSecond float64) *Limiter {
 	return &Limiter{perSecond: perSecond, tokens: perSecond}
 }
 
-// Allow says whether a line may be written, and how many were not since the last
-// one that was.
+// Allow reports whether a line may be written at now and, if so, how many lines were refused since
+// the last one that was allowed.
 func (l *Limiter) Allow(now time.Time) (ok bool, skipped uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.at.IsZero() {
-		l.tokens = min(l.perSecond, l.tokens+now.Sub(l.at).Seconds()*l.perSecond)
+	if !l.refilledAt.IsZero() {
+		l.tokens = min(l.perSecond, l.tokens+now.Sub(l.refilledAt).Seconds()*l.perSecond)
 	}
-	l.at = now
+	l.refilledAt = now
 	if l.tokens < 1 {
 		l.skipped++
 		return false, 0
--- a/router/logging/logging.go
+++ b/router/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes structured lines without ever holding a request up: a
-// line that finds the buffer full is dropped and counted.
+// Package logging writes structured log lines without blocking requests: when the buffer is full,
+// lines are dropped and counted.
 package logging
 
 import (
@@ -12,21 +12,21 @@
 	"maststage.dev/lib/guard"
 )
 
-// Writer passes lines on through a bounded buffer. It implements io.Writer.
+// Writer writes lines asynchronously through a bounded buffer. It implements io.Writer.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Uint64
-	pending atomic.Int64 // lines taken and not written yet, the one being written included
+	pending atomic.Int64 // lines accepted but not yet written, including the one being written
 	done    chan struct{}
 }
 
-// NewWriter starts a writer to out that keeps at most buffer lines waiting.
+// NewWriter starts a Writer to out that buffers up to the given number of lines, at least one.
 func NewWriter(out io.Writer, buffer int) *Writer {
 	w := &Writer{lines: make(chan []byte, max(buffer, 1)), done: make(chan struct{})}
 	guard.Go("log writer", func() {
 		defer close(w.done)
 		for line := range w.lines {
-			// There is nowhere to tell of a failure to write.
+			// There is no other place to report a write error to.
 			_, _ = out.Write(line)
 			w.pending.Add(-1)
 		}
@@ -34,7 +34,7 @@
 	return w
 }
 
-// Write takes one line; it never blocks.
+// Write queues a copy of one line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.pending.Add(1)
 	select {
@@ -46,21 +46,20 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that found the buffer full.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// flushWait bounds Flush.
-const flushWait = 200 * time.Millisecond
+const flushTimeout = 200 * time.Millisecond
 
-// Flush waits a moment until the lines so far are written.
+// Flush waits until the lines accepted so far are written, for flushTimeout at most.
 func (w *Writer) Flush() {
-	deadline := time.Now().Add(flushWait)
+	deadline := time.Now().Add(flushTimeout)
 	for w.pending.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Setup makes logrus write to w.
+// Setup makes logrus write to w at the given level, with the name of the host in each line.
 func Setup(w *Writer, level, host string) error {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -73,13 +72,13 @@
 	return nil
 }
 
-// hostHook adds the host's name to each line.
+// hostHook adds the field host to each line.
 type hostHook string
 
-// Levels are all.
+// Levels implements log.Hook.
 func (hostHook) Levels() []log.Level { return log.AllLevels }
 
-// Fire adds the field.
+// Fire implements log.Hook.
 func (h hostHook) Fire(e *log.Entry) error {
 	e.Data["host"] = string(h)
 	return nil
--- a/router/logging/logging_test.go
+++ b/router/logging/logging_test.go
@@ -9,15 +9,15 @@
 	"github.com/matryer/is"
 )
 
-// stuck is a writer that blocks until it is let go.
-type stuck struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	free chan struct{}
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct {
+	mu      sync.Mutex
+	text    bytes.Buffer
+	release chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
@@ -25,15 +25,15 @@
 
 func TestWriterNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	w := NewWriter(out, 10)
 	for range 100 {
 		_, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
-	is.True(w.Dropped() >= 89) // ten wait, one is being written
+	is.True(w.Dropped() >= 89) // ten are buffered, one may be in the blocked write
 	is.True(w.Dropped() <= 90)
-	close(out.free)
+	close(out.release)
 	w.Flush()
 	time.Sleep(10 * time.Millisecond)
 	out.mu.Lock()
@@ -41,25 +41,25 @@
 	is.Equal(out.text.Len(), int(100-w.Dropped())*len("line\n"))
 }
 
-// Flush waits for the line that is being written too: the last one before an exit
-// names its reason.
+// Flush must also wait for the line that is being written: the last line before the process exits
+// gives the reason for the exit.
 func TestFlushWaitsForTheLineBeingWritten(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	w := NewWriter(out, 10)
 	_, err := w.Write([]byte("the reason\n"))
 	is.NoErr(err)
 	for len(w.lines) > 0 {
 		time.Sleep(time.Millisecond) // until the writer has taken the line
 	}
-	time.AfterFunc(20*time.Millisecond, func() { close(out.free) })
+	time.AfterFunc(20*time.Millisecond, func() { close(out.release) })
 	w.Flush()
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	is.Equal(out.text.String(), "the reason\n")
 }
 
-func TestLimiter(t *testing.T) {
+func TestLimiterReportsSkippedLines(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter(10)
 	now := time.Unix(1, 0)
