--- a/router/logcount/logcount.go
+++ b/router/logcount/logcount.go
@@ -1,5 +1,5 @@
-// Package logcount counts the calls of a host to the shared log and the bytes that came back, by
-// topic, kind of call and outcome: what a large fleet costs the log is the sum of these.
+// Package logcount counts a host's calls to the shared log and the bytes read, by topic, kind of
+// call and outcome. The sum over all hosts is the load that the fleet puts on the log.
 package logcount
 
 import (
@@ -19,20 +19,20 @@
 // Outcomes of a call.
 const (
 	OK       = "ok"
-	Conflict = "conflict" // another append came first
-	Trimmed  = "trimmed"  // the records are gone
-	Refused  = "refused"  // no effect
-	Unknown  = "unknown"  // no answer
+	Conflict = "conflict" // the partition did not end at the expected offset
+	Trimmed  = "trimmed"  // the records have been removed
+	Refused  = "refused"  // the call had no effect
+	Unknown  = "unknown"  // no response: the call may have taken effect
 )
 
-// Key is what calls are counted by.
+// Key identifies a counter.
 type Key struct {
 	Topic   string
 	Call    string // append, read or newest
 	Outcome string
 }
 
-// Count is how many calls of a key there were, and the bytes of keys and values that they read.
+// Count is the number of calls and the bytes of record keys and values that they returned.
 type Count struct{ Calls, Bytes int64 }
 
 // Log counts the calls to another Log. It implements eventlog.Log.
@@ -44,7 +44,7 @@
 	counts map[Key]Count
 }
 
-// New counts the calls to l; onCall, unless nil, is told of each.
+// New returns a Log that counts the calls to l. onCall, unless nil, is called after each.
 func New(l eventlog.Log, onCall func(k Key, bytes int64)) *Log {
 	return &Log{log: l, onCall: onCall, counts: map[Key]Count{}}
 }
@@ -52,32 +52,32 @@
 // AppendAt implements eventlog.Log.
 func (l *Log) AppendAt(ctx context.Context, p eventlog.Partition, at int64, records []eventlog.Record) (int64, error) {
 	end, err := l.log.AppendAt(ctx, p, at, records)
-	l.note(p, "append", nil, err)
+	l.countCall(p, "append", nil, err)
 	return end, err
 }
 
 // Append implements eventlog.Log.
 func (l *Log) Append(ctx context.Context, p eventlog.Partition, records []eventlog.Record) (int64, error) {
 	end, err := l.log.Append(ctx, p, records)
-	l.note(p, "append", nil, err)
+	l.countCall(p, "append", nil, err)
 	return end, err
 }
 
 // Read implements eventlog.Log.
 func (l *Log) Read(ctx context.Context, p eventlog.Partition, from int64, wait time.Duration) (eventlog.Batch, error) {
 	batch, err := l.log.Read(ctx, p, from, wait)
-	l.note(p, "read", batch.Records, err)
+	l.countCall(p, "read", batch.Records, err)
 	return batch, err
 }
 
 // Newest implements eventlog.Log.
 func (l *Log) Newest(ctx context.Context, p eventlog.Partition, after string) (eventlog.Page, error) {
 	page, err := l.log.Newest(ctx, p, after)
-	l.note(p, "newest", page.Records, err)
+	l.countCall(p, "newest", page.Records, err)
 	return page, err
 }
 
-func (l *Log) note(p eventlog.Partition, call string, records []eventlog.Record, err error) {
+func (l *Log) countCall(p eventlog.Partition, call string, records []eventlog.Record, err error) {
 	k := Key{Topic: p.Topic, Call: call, Outcome: outcomeOf(err)}
 	bytes := int64(0)
 	for _, r := range records {
@@ -107,14 +107,14 @@
 	return Unknown
 }
 
-// Counts is what was counted so far.
+// Counts returns a copy of the counts since the start.
 func (l *Log) Counts() map[Key]Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.counts)
 }
 
-// LogCounts writes a line for each key, all since the start, in the same order each time.
+// LogCounts logs the counts since the start, one line for each key, in a fixed order.
 func (l *Log) LogCounts() {
 	counts := l.Counts()
 	keys := slices.SortedFunc(maps.Keys(counts), func(a, b Key) int {
@@ -123,6 +123,6 @@
 	for _, k := range keys {
 		log.WithFields(log.Fields{
 			"topic": k.Topic, "call": k.Call, "outcome": k.Outcome, "calls": counts[k].Calls, "bytes": counts[k].Bytes,
-		}).Info("calls to the log")
+		}).Info("calls to the shared log")
 	}
 }
--- a/router/logcount/logcount_test.go
+++ b/router/logcount/logcount_test.go
@@ -13,8 +13,8 @@
 func TestCallsAreCounted(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	told := 0
-	counted := New(l.Host("h"), func(Key, int64) { told++ })
+	notified := 0
+	counted := New(l.Host("h"), func(Key, int64) { notified++ })
 	ctx := context.Background()
 	p := eventlog.Partition{Topic: "t"}
 	_, err := counted.Append(ctx, p, []eventlog.Record{{Key: "key", Value: []byte("value")}})
@@ -31,6 +31,6 @@
 		{"t", "append", OK}: {Calls: 1}, {"t", "append", Conflict}: {Calls: 1},
 		{"t", "read", OK}: {Calls: 1, Bytes: 8}, {"t", "newest", Refused}: {Calls: 1},
 	})
-	is.Equal(told, 4)
+	is.Equal(notified, 4)
 	counted.LogCounts()
 }
