--- a/lib/graceful/graceful.go
+++ b/lib/graceful/graceful.go
@@ -1,8 +1,8 @@
-// Package graceful is an HTTP server that ends without breaking requests.
+// Package graceful provides an HTTP server that shuts down without failing requests.
 //
-// http.Server.Shutdown alone breaks some: it closes its listener on connections that
-// wait to be accepted, gives up requests that it reads once it has begun, and closes
-// kept connections as requests come on them.
+// http.Server.Shutdown alone fails some: it closes its listener while connections are
+// waiting to be accepted, drops requests that it reads after shutdown began, and closes
+// keep-alive connections while requests arrive on them.
 package graceful
 
 import (
@@ -16,28 +16,28 @@
 )
 
 const (
-	// quietTime is how long a kept connection is without a request before it counts
-	// as not in use.
-	quietTime = 300 * time.Millisecond
-	look      = 5 * time.Millisecond
+	// idleGracePeriod is how long a keep-alive connection must be without a request to
+	// count as unused.
+	idleGracePeriod = 300 * time.Millisecond
+	pollInterval    = 5 * time.Millisecond
 )
 
-// Server serves HTTP until it is shut down.
+// Server serves HTTP until Shutdown or Close.
 type Server struct {
 	http    *http.Server
 	leaving atomic.Bool
 
-	mu       sync.Mutex
-	listener *listener
-	idle     map[net.Conn]time.Time // since when
-	busy     map[net.Conn]struct{}  // with a request, or new
-	quiet    time.Duration          // quietTime, but in tests
+	mu        sync.Mutex
+	listener  *listener
+	idle      map[net.Conn]time.Time // time since which it is idle
+	busy      map[net.Conn]struct{}  // serving a request, or new
+	idleGrace time.Duration          // idleGracePeriod, except in tests
 }
 
-// New makes a server of an http.Server that is not used otherwise; its Handler and
-// ConnState are taken over.
+// New wraps an http.Server, which the caller must not use otherwise. It replaces its
+// Handler and ConnState.
 func New(s *http.Server) *Server {
-	g := &Server{http: s, idle: map[net.Conn]time.Time{}, busy: map[net.Conn]struct{}{}, quiet: quietTime}
+	g := &Server{http: s, idle: map[net.Conn]time.Time{}, busy: map[net.Conn]struct{}{}, idleGrace: idleGracePeriod}
 	handler := s.Handler
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.leaving.Load() {
@@ -45,12 +45,12 @@
 		}
 		handler.ServeHTTP(w, r)
 	})
-	s.ConnState = g.note
+	s.ConnState = g.trackState
 	return g
 }
 
-// note follows what each connection does.
-func (s *Server) note(c net.Conn, state http.ConnState) {
+// trackState records which connections are idle and which are busy.
+func (s *Server) trackState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.idle, c)
@@ -63,45 +63,45 @@
 	}
 }
 
-// errNotTCP means that a listener is not one of TCP.
+// errNotTCP is returned by Serve for a listener of another type.
 var errNotTCP = errors.New("graceful: not a TCP listener")
 
-// Serve takes connections of a TCP listener until Shutdown; then it returns
-// http.ErrServerClosed. Other errors: those of http.Server.Serve.
+// Serve accepts connections on a TCP listener until Shutdown; then it returns
+// http.ErrServerClosed. Its other errors are those of http.Server.Serve.
 func (s *Server) Serve(l net.Listener) error {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		return errNotTCP
 	}
-	last := newListener(tcp)
+	wrapped := newListener(tcp)
 	s.mu.Lock()
-	s.listener = last
+	s.listener = wrapped
 	s.mu.Unlock()
-	return s.http.Serve(last)
+	return s.http.Serve(wrapped)
 }
 
-// accepting is the listener, nil before Serve.
-func (s *Server) accepting() *listener {
+// activeListener returns the listener, nil before Serve.
+func (s *Server) activeListener() *listener {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener
 }
 
-// Leave lets each answer from now on tell its caller to make no further request on
-// the connection: kept ones end by and by where nothing can be on its way.
+// Leave adds "Connection: close" to every response from now on, so that each keep-alive
+// connection closes after a response, when no request can be in flight on it.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Shutdown takes no more connections and ends the server once all that came has its
-// answer and no kept connection was used for a moment, or ctx ends.
-// Errors: those of http.Server.Shutdown.
+// Shutdown stops accepting connections and stops the server once every request received
+// has its response and each keep-alive connection has been idle for the grace period, or
+// once ctx ends. Its errors are those of http.Server.Shutdown.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Leave()
-	if l := s.accepting(); l != nil {
-		l.end(ctx.Done())
+	if l := s.activeListener(); l != nil {
+		l.drain(ctx.Done())
 	}
-	tick := time.NewTicker(look)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for !s.unused(time.Now()) && ctx.Err() == nil {
+	for !s.quiescent(time.Now()) && ctx.Err() == nil {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -110,18 +110,18 @@
 	return s.http.Shutdown(ctx)
 }
 
-// Close ends the server and all its connections at once.
+// Close closes the server and all its connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-// unused says whether no connection is in use.
-func (s *Server) unused(now time.Time) bool {
+// quiescent reports whether no connection is in use.
+func (s *Server) quiescent(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.busy) > 0 {
 		return false
 	}
 	for _, since := range s.idle {
-		if now.Sub(since) < s.quiet {
+		if now.Sub(since) < s.idleGrace {
 			return false
 		}
 	}
--- a/lib/graceful/listener.go
+++ b/lib/graceful/listener.go
@@ -10,62 +10,64 @@
 	"time"
 )
 
-// listener closes behind the connections that wait to be accepted, which the kernel
-// would reset together with the requests that were sent on them.
+// listener accepts the connections that are waiting before it closes. The kernel would
+// reset them, with the requests already sent on them.
 type listener struct {
 	*net.TCPListener
-	ending atomic.Bool
-	ended  chan struct{} // closed once the last connection was given
-	once   sync.Once     // of that
-	closed bool          // with its last connections in rest; both are of the goroutine in Accept
-	rest   []net.Conn
+	closing     atomic.Bool
+	drained     chan struct{} // closed once Accept has returned the last connection
+	drainedOnce sync.Once     // guards the close of drained
+	closed      bool          // the last connections are in pending; both belong to the goroutine in Accept
+	pending     []net.Conn
 }
 
 func newListener(l *net.TCPListener) *listener {
-	return &listener{TCPListener: l, ended: make(chan struct{})}
+	return &listener{TCPListener: l, drained: make(chan struct{})}
 }
 
-// Accept gives the next connection, and http.ErrServerClosed behind the last.
+// Accept returns the next connection, and http.ErrServerClosed after the last one.
 func (l *listener) Accept() (net.Conn, error) {
-	if !l.ending.Load() {
+	if !l.closing.Load() {
 		c, err := l.TCPListener.Accept()
-		if err == nil || !l.ending.Load() {
+		if err == nil || !l.closing.Load() {
 			return c, err
 		}
 	}
 	if !l.closed {
-		l.closeBehind()
+		l.drainAndClose()
 		l.closed = true
 	}
-	if len(l.rest) == 0 {
-		l.once.Do(func() { close(l.ended) })
+	if len(l.pending) == 0 {
+		l.drainedOnce.Do(func() { close(l.drained) })
 		return nil, http.ErrServerClosed
 	}
-	c := l.rest[0]
-	l.rest = l.rest[1:]
+	c := l.pending[0]
+	l.pending = l.pending[1:]
 	return c, nil
 }
 
 const (
-	// anyTTL and nearTTL are what IP_MINTTL lets through: all, and only packets that no router
-	// has passed on and whose sender asks for it, which those that open a connection never do.
-	anyTTL, nearTTL = 0, 255
-	// handshake is how long connections that are being made get to be done.
-	handshake = 50 * time.Millisecond
+	// anyTTL and directTTL are values of IP_MINTTL. 0 admits all packets; 255 only those that no
+	// router has forwarded and whose sender set this TTL, which packets that open a
+	// connection never have.
+	anyTTL, directTTL = 0, 255
+	// handshakeTime is how long TCP handshakes in progress may take to finish.
+	handshakeTime = 50 * time.Millisecond
 )
 
-// closeBehind closes the listener behind the connections that were made. First the kernel takes no
-// packets that open new ones: whoever connects just then asks again and is refused.
-func (l *listener) closeBehind() {
-	l.setMinTTL(nearTTL)
-	for end := time.Now().Add(handshake); time.Now().Before(end); time.Sleep(look) {
-		l.rest = append(l.rest, l.acceptWaiting()...)
+// drainAndClose accepts the established connections and closes the listener. First it makes the
+// kernel ignore packets that open new ones: clients connecting just then resend theirs and
+// are refused.
+func (l *listener) drainAndClose() {
+	l.setMinTTL(directTTL)
+	for end := time.Now().Add(handshakeTime); time.Now().Before(end); time.Sleep(pollInterval) {
+		l.pending = append(l.pending, l.acceptPending()...)
 	}
-	l.rest = append(l.rest, l.acceptWaiting()...)
+	l.pending = append(l.pending, l.acceptPending()...)
 	_ = l.Close()
 }
 
-// setMinTTL bounds which packets reach the listener, and connections that it makes from now on.
+// setMinTTL sets the lowest TTL of packets for the listener and for its future connections.
 func (l *listener) setMinTTL(ttl int) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -74,9 +76,9 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, syscall.IP_MINTTL, ttl) })
 }
 
-// acceptWaiting takes all connections that wait. It asks the kernel itself: Accept may
-// be told of its deadline before it is told of a connection.
-func (l *listener) acceptWaiting() []net.Conn {
+// acceptPending accepts all waiting connections. It calls the kernel directly: Accept may
+// report its deadline before it reports a connection.
+func (l *listener) acceptPending() []net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil
@@ -92,7 +94,7 @@
 				return
 			}
 			_ = syscall.SetsockoptInt(accepted, syscall.IPPROTO_IP, syscall.IP_MINTTL, anyTTL)
-			if c := connOf(accepted); c != nil {
+			if c := connFromFD(accepted); c != nil {
 				waiting = append(waiting, c)
 			}
 		}
@@ -100,8 +102,8 @@
 	return waiting
 }
 
-// connOf makes a connection of a socket; nil: it can't be used.
-func connOf(fd int) net.Conn {
+// connFromFD makes a net.Conn of a socket, or returns nil if that fails.
+func connFromFD(fd int) net.Conn {
 	syscall.CloseOnExec(fd)
 	f := os.NewFile(uintptr(fd), "connection")
 	defer f.Close()
@@ -112,12 +114,13 @@
 	return c
 }
 
-// end closes the listener behind the connections that wait, or once done is closed.
-func (l *listener) end(done <-chan struct{}) {
-	l.ending.Store(true)
+// drain waits until Accept has returned the waiting connections and the listener is closed. It
+// closes the listener at once when done is closed.
+func (l *listener) drain(done <-chan struct{}) {
+	l.closing.Store(true)
 	_ = l.SetDeadline(time.Now())
 	select {
-	case <-l.ended:
+	case <-l.drained:
 	case <-done:
 		_ = l.Close()
 	}
