--- a/lib/standstill/standstill.go
+++ b/lib/standstill/standstill.go
@@ -1,5 +1,5 @@
-// Package standstill notices that the process stood still: it was stopped, or got no processor.
-// What waits in its sockets then is older than it looks, and whoever sent it may have gone.
+// Package standstill detects that the process stalled: it was stopped, or got no CPU time.
+// The data in its sockets is then older than it seems, and its sender may have gone.
 package standstill
 
 import (
@@ -11,49 +11,49 @@
 )
 
 const (
-	tick = 50 * time.Millisecond
-	// least is the shortest pause between two ticks that counts as a standstill.
-	least = 300 * time.Millisecond
-	// settle is how long a process that stood still reads its sockets before it acts on them.
-	settle = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
+	// minStall is the shortest interval between two ticks that counts as a stall.
+	minStall = 300 * time.Millisecond
+	// settleTime is how long a process reads its sockets after a stall before it acts on them.
+	settleTime = 50 * time.Millisecond
 )
 
-// Watch tells whether the process stood still until a moment ago.
+// Watch detects stalls of the process.
 type Watch struct {
-	start time.Time
-	last  atomic.Int64 // time of the last tick since start, in ns
-	woke  atomic.Int64 // time since start at which the last standstill was noticed, in ns
+	start    time.Time
+	lastTick atomic.Int64 // time of the last tick, in ns since start
+	resumed  atomic.Int64 // time at which the last stall was detected, in ns since start
 }
 
-// New makes a watch; Run starts it.
+// New returns a Watch; Run starts it.
 func New() *Watch { return &Watch{start: time.Now()} }
 
-// Run ticks until ctx ends.
+// Run records ticks until ctx ends.
 func (w *Watch) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.look()
-		wait.For(ctx, tick)
+		w.recordTick()
+		wait.For(ctx, tickInterval)
 	}
 }
 
-func (w *Watch) look() {
+func (w *Watch) recordTick() {
 	now := int64(time.Since(w.start))
-	if last := w.last.Swap(now); last > 0 && now-last > int64(least) {
-		w.woke.Store(now)
+	if last := w.lastTick.Swap(now); last > 0 && now-last > int64(minStall) {
+		w.resumed.Store(now)
 	}
 }
 
-// Settle waits, if the process has just stood still, until it has read what came meanwhile, so that
-// calls that were cancelled in that time show it. Its error is that of ctx.
+// Settle waits, if the process has just stalled, until it has read what arrived meanwhile, so that
+// ctx of a call that was cancelled during the stall has ended. It returns the error of ctx.
 func (w *Watch) Settle(ctx context.Context) error {
-	now, last := int64(time.Since(w.start)), w.last.Load()
+	now, last := int64(time.Since(w.start)), w.lastTick.Load()
 	if last == 0 {
-		return ctx.Err() // not running
+		return ctx.Err() // Run has not started
 	}
-	if now-last > int64(least) {
-		wait.For(ctx, settle)
-	} else if since := now - w.woke.Load(); w.woke.Load() > 0 && since < int64(settle) {
-		wait.For(ctx, settle-time.Duration(since))
+	if now-last > int64(minStall) {
+		wait.For(ctx, settleTime)
+	} else if since := now - w.resumed.Load(); w.resumed.Load() > 0 && since < int64(settleTime) {
+		wait.For(ctx, settleTime-time.Duration(since))
 	}
 	return ctx.Err()
 }
