--- a/lib/patience/patience.go
+++ b/lib/patience/patience.go
@@ -1,6 +1,6 @@
-// Package patience bounds a transfer by how long it is silent and not by how long it takes.
-// A fixed time ends every transfer that is larger than what the link carries in it, and the
-// next try, which begins at the first byte again, ends no better.
+// Package patience limits a transfer by idle time rather than by total time. A fixed
+// timeout aborts every transfer larger than the link carries in that time, and a retry,
+// which starts at the first byte again, fails in the same way.
 package patience
 
 import (
@@ -11,66 +11,66 @@
 	"time"
 )
 
-// ErrSilent is the cause of a context that ended because nothing came.
-var ErrSilent = errors.New("nothing came in time")
+// ErrSilent is the cause of a context that ended because no data arrived in time.
+var ErrSilent = errors.New("no data arrived in time")
 
-// Limits say how long a transfer may be silent and how long it may take.
+// Limits are the timeouts of a transfer.
 type Limits struct {
-	First   time.Duration // until its first bytes
-	Silence time.Duration // between bytes from then on
-	Most    time.Duration // in all, so that a trickle ends, too
+	First   time.Duration // until the first bytes
+	Silence time.Duration // between bytes after those
+	Most    time.Duration // in total, so that a very slow transfer ends too
 }
 
-type key struct{}
+type contextKey struct{}
 
-// watch ends a context unless progress is noted.
-type watch struct {
+// idleTimer cancels a context unless data keeps arriving.
+type idleTimer struct {
 	timer   *time.Timer
 	silence time.Duration
 }
 
-// New gives a context that ends when a transfer passes its limits. Progress is what a
-// Reader with this context notes.
+// New returns a context that ends when a transfer exceeds its limits. Data counts as
+// arrived when a Reader with this context returns it.
 func New(parent context.Context, l Limits) (context.Context, context.CancelFunc) {
 	bounded, stop := context.WithTimeout(parent, l.Most)
 	ctx, cancel := context.WithCancelCause(bounded)
-	w := &watch{silence: l.Silence, timer: time.AfterFunc(l.First, func() { cancel(ErrSilent) })}
-	return context.WithValue(ctx, key{}, w), func() {
+	w := &idleTimer{silence: l.Silence, timer: time.AfterFunc(l.First, func() { cancel(ErrSilent) })}
+	return context.WithValue(ctx, contextKey{}, w), func() {
 		w.timer.Stop()
 		cancel(context.Canceled)
 		stop()
 	}
 }
 
-// reader notes progress with each read that brings bytes.
+// reader restarts the idle timer with each read that returns bytes.
 type reader struct {
 	io.Reader
-	watch *watch
+	idle *idleTimer
 }
 
-// Reader reads from r and keeps the context of New going while bytes come. With any other
-// context it is r itself.
+// Reader reads from r and keeps ctx alive while bytes arrive. If ctx is not one of New it
+// returns r itself.
 func Reader(ctx context.Context, r io.Reader) io.Reader {
-	w, ok := ctx.Value(key{}).(*watch)
+	w, ok := ctx.Value(contextKey{}).(*idleTimer)
 	if !ok {
 		return r
 	}
-	return &reader{Reader: r, watch: w}
+	return &reader{Reader: r, idle: w}
 }
 
-// step is the most bytes of one read. Some readers, such as those of chunked bodies, return
-// only when the buffer is full, and a megabyte of it takes 0.8 s at 10 Mbit/s.
-const step = 4 << 10
+// maxRead is the largest read, in bytes. Some readers, such as those of chunked bodies, return
+// only when the buffer is full, and a buffer of 1 MB takes 0.8 s to fill at 10 Mbit/s.
+const maxRead = 4 << 10
 
 func (r *reader) Read(p []byte) (int, error) {
-	n, err := r.Reader.Read(p[:min(len(p), step)])
+	n, err := r.Reader.Read(p[:min(len(p), maxRead)])
 	if n > 0 {
-		r.watch.timer.Reset(r.watch.silence)
+		r.idle.timer.Reset(r.idle.silence)
 	}
 	return n, err
 }
 
-// Transport makes the bodies of answers note progress in contexts of New.
+// Transport wraps response bodies in a Reader with the context of their request.
 func Transport(base http.RoundTripper) http.RoundTripper { return transport{base} }
 
 type transport struct{ base http.RoundTripper }
--- a/lib/patience/patience_test.go
+++ b/lib/patience/patience_test.go
@@ -11,13 +11,13 @@
 	"github.com/matryer/is"
 )
 
-// trickle gives one byte at a time, each after a pause.
-type trickle struct {
+// trickleReader returns one byte per read, after a pause.
+type trickleReader struct {
 	pause time.Duration
 	bytes int
 }
 
-func (t *trickle) Read(p []byte) (int, error) {
+func (t *trickleReader) Read(p []byte) (int, error) {
 	if t.bytes == 0 {
 		return 0, io.EOF
 	}
@@ -27,7 +27,7 @@
 	return 1, nil
 }
 
-// readUntil reads until the end or until the context has ended.
+// readUntil reads until r or ctx ends and returns the number of bytes.
 func readUntil(ctx context.Context, r io.Reader) int {
 	n := 0
 	for buffer := make([]byte, 10); ctx.Err() == nil; {
@@ -40,24 +40,24 @@
 	return n
 }
 
-func TestLongTransferGoesOnWhileBytesCome(t *testing.T) {
+func TestLongTransferContinuesWhileBytesArrive(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := New(context.Background(), Limits{First: 200 * time.Millisecond, Silence: 200 * time.Millisecond, Most: time.Minute})
 	defer cancel()
-	n := readUntil(ctx, Reader(ctx, &trickle{pause: 20 * time.Millisecond, bytes: 30})) // 0.6 s
+	n := readUntil(ctx, Reader(ctx, &trickleReader{pause: 20 * time.Millisecond, bytes: 30})) // 0.6 s
 	is.NoErr(ctx.Err())
 	is.Equal(n, 30)
 }
 
-// full gives a reader that returns only when the buffer is full, as some do.
-type full struct{ io.Reader }
+// fullReader returns only when the buffer is full, as some readers do.
+type fullReader struct{ io.Reader }
 
-func (f full) Read(p []byte) (int, error) { return io.ReadFull(f.Reader, p) }
+func (f fullReader) Read(p []byte) (int, error) { return io.ReadFull(f.Reader, p) }
 
-// slow gives 4 KB at a time, each after a pause.
-type slow struct{ pause time.Duration }
+// slowReader returns up to 4 KB per read, after a pause.
+type slowReader struct{ pause time.Duration }
 
-func (s slow) Read(p []byte) (int, error) {
+func (s slowReader) Read(p []byte) (int, error) {
 	time.Sleep(s.pause)
 	return min(len(p), 4<<10), nil
 }
@@ -66,23 +66,23 @@
 	is := is.New(t)
 	ctx, cancel := New(context.Background(), Limits{First: 200 * time.Millisecond, Silence: 200 * time.Millisecond, Most: time.Minute})
 	defer cancel()
-	n, err := io.ReadFull(Reader(ctx, full{slow{pause: 10 * time.Millisecond}}), make([]byte, 1<<18)) // 0.64 s
+	n, err := io.ReadFull(Reader(ctx, fullReader{slowReader{pause: 10 * time.Millisecond}}), make([]byte, 1<<18)) // 0.64 s
 	is.NoErr(err)
 	is.NoErr(ctx.Err())
 	is.Equal(n, 1<<18)
 }
 
-func TestSilenceEndsIt(t *testing.T) {
+func TestIdleTransferIsCancelled(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := New(context.Background(), Limits{First: time.Minute, Silence: 20 * time.Millisecond, Most: time.Minute})
 	defer cancel()
-	n := readUntil(ctx, Reader(ctx, &trickle{pause: time.Millisecond, bytes: 1}))
+	n := readUntil(ctx, Reader(ctx, &trickleReader{pause: time.Millisecond, bytes: 1}))
 	is.Equal(n, 1)
 	<-ctx.Done()
 	is.True(errors.Is(context.Cause(ctx), ErrSilent))
 }
 
-func TestNothingAtAll(t *testing.T) {
+func TestTransferWithoutFirstByteIsCancelled(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := New(context.Background(), Limits{First: 10 * time.Millisecond, Silence: time.Minute, Most: time.Minute})
 	defer cancel()
@@ -90,15 +90,15 @@
 	is.True(errors.Is(context.Cause(ctx), ErrSilent))
 }
 
-func TestTrickleEnds(t *testing.T) {
+func TestSlowTransferEndsAtTotalLimit(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := New(context.Background(), Limits{First: time.Minute, Silence: time.Minute, Most: 50 * time.Millisecond})
 	defer cancel()
-	readUntil(ctx, Reader(ctx, &trickle{pause: time.Millisecond, bytes: 1 << 20}))
+	readUntil(ctx, Reader(ctx, &trickleReader{pause: time.Millisecond, bytes: 1 << 20}))
 	is.True(errors.Is(ctx.Err(), context.DeadlineExceeded))
 }
 
-func TestOtherContexts(t *testing.T) {
+func TestReaderIsUnchangedForOtherContexts(t *testing.T) {
 	is := is.New(t)
 	r := strings.NewReader("")
 	is.Equal(Reader(context.Background(), r), io.Reader(r))
