--- a/lib/account/account.go
+++ b/lib/account/account.go
@@ -1,7 +1,7 @@
-// Package account puts together where the tokens of prepaid budgets are, from the lines
-// that router hosts write about their parts ("budget held").
+// Package account computes where the tokens of prepaid budgets are, from the log lines
+// in which router hosts report what they hold ("budget held").
 //
-// For each organisation, at any time and to the token:
+// For each organisation and at any time this holds exactly:
 //
 //	granted = used + reserved + keepers + others + on the way + died + untold
 package account
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Entry is what one incarnation of a host told of its part of one budget. Flows are sums
-// since its start.
+// Entry is one report of an incarnation of a host about what it holds of one budget.
+// Taken to Used are totals since the incarnation started.
 type Entry struct {
-	At           time.Duration // since midnight; later days add up
+	At           time.Duration // since midnight of the first day
 	Host         string
 	Incarnation  string
 	Organisation string
@@ -33,18 +33,18 @@
 	Organisation string        `json:"organisation"`
 	Limit        int64         `json:"limit"`
 	Granted      int64         `json:"granted"`  // to all hosts, by the newest record seen
-	Used         int64         `json:"used"`     // by requests that ended
-	Reserved     int64         `json:"reserved"` // by requests under way
-	Keepers      int64         `json:"keepers"`  // free at hosts that hold them for all
+	Used         int64         `json:"used"`     // by finished requests
+	Reserved     int64         `json:"reserved"` // by requests in flight
+	Keepers      int64         `json:"keepers"`  // free at keepers, the hosts that lend to the others
 	Others       int64         `json:"others"`   // free at other hosts
 	OnTheWay     int64         `json:"on_the_way"`
-	Died         int64         `json:"died"` // free or reserved at hosts that ended
-	// Untold is what was taken of the budget by nobody that told of it: appends whose fate
-	// is not known yet, and what a host did between its last line and its end.
+	Died         int64         `json:"died"` // free or reserved at hosts that exited
+	// Untold is what no host has reported: appends whose outcome isn't known yet, and
+	// what a host did between its last line and its exit.
 	Untold int64 `json:"untold"`
 }
 
-// Parts gives the parts of what is granted, with their names.
+// Parts returns the parts that add up to Granted.
 func (s Sum) Parts() []Part {
 	return []Part{
 		{"used", s.Used}, {"reserved", s.Reserved}, {"keepers", s.Keepers}, {"others", s.Others},
@@ -52,16 +52,16 @@
 	}
 }
 
-// Part is a named part of what is granted.
+// Part is a named part of Granted.
 type Part struct {
 	Name   string
 	Tokens int64
 }
 
-// Book holds what was told, in order of time.
+// Book collects entries.
 type Book struct{ entries []Entry }
 
-// Add takes in entries.
+// Add adds entries, in any order.
 func (b *Book) Add(entries ...Entry) { b.entries = append(b.entries, entries...) }
 
 // sort orders the entries by time.
@@ -69,19 +69,20 @@
 	slices.SortStableFunc(b.entries, func(x, y Entry) int { return cmp.Compare(x.At, y.At) })
 }
 
-// incarnation names one of an organisation's holders.
+// incarnation identifies one run of a host.
 type incarnation struct{ host, id string }
 
-// budget is what is known of one budget at a time.
+// budget is what is known of one budget at one time.
 type budget struct {
-	newest Entry // with the highest offset
-	last   map[incarnation]Entry
-	living map[string]string // incarnation of each host that told last
+	newest  Entry // the entry with the highest offset
+	last    map[incarnation]Entry
+	current map[string]string // the incarnation of each host that reported last
 }
 
-// Series gives the sums at each step from the first line to the last, ordered by time and
-// organisation. silent is how long a host may tell nothing before it counts as ended; 0: until a
-// later incarnation of it tells. Hosts tell of what changed only, so it should be long.
+// Series returns the sums at each step from the first entry to the last, ordered by time and
+// organisation; step 0 gives those at the last entry only. A host that reports nothing for longer
+// than silent counts as exited; with 0 it does once a later incarnation of it reports. Hosts
+// report changes only, so silent should be long.
 func (b *Book) Series(step, silent time.Duration) []Sum {
 	if len(b.entries) == 0 {
 		return nil
@@ -96,40 +97,40 @@
 			all = append(all, sums(budgets, heard, next, silent)...)
 			next += step
 		}
-		take(budgets, e)
+		record(budgets, e)
 		heard[incarnation{e.Host, e.Incarnation}] = e.At
 	}
 	return append(all, sums(budgets, heard, b.entries[len(b.entries)-1].At, silent)...)
 }
 
-// take takes in one entry.
-func take(budgets map[string]*budget, e Entry) {
+// record adds one entry to what is known.
+func record(budgets map[string]*budget, e Entry) {
 	k := budgets[e.Organisation]
 	if k == nil {
-		k = &budget{last: map[incarnation]Entry{}, living: map[string]string{}}
+		k = &budget{last: map[incarnation]Entry{}, current: map[string]string{}}
 		budgets[e.Organisation] = k
 	}
 	if len(k.last) == 0 || e.Offset >= k.newest.Offset {
 		k.newest = e
 	}
 	k.last[incarnation{e.Host, e.Incarnation}] = e
-	k.living[e.Host] = e.Incarnation
+	k.current[e.Host] = e.Incarnation
 }
 
-// sums gives the sums of all budgets at a time.
+// sums returns the sums of all budgets at one time.
 func sums(budgets map[string]*budget, heard map[incarnation]time.Duration, at, silent time.Duration) []Sum {
-	// A host's later incarnation may have told of other budgets only.
-	living := map[string]incarnation{}
+	// A later incarnation of a host may have reported other budgets only.
+	current := map[string]incarnation{}
 	for who, when := range heard {
-		if last, known := living[who.host]; !known || heard[last] < when {
-			living[who.host] = who
+		if last, known := current[who.host]; !known || heard[last] < when {
+			current[who.host] = who
 		}
 	}
 	var list []Sum
 	for organisation, k := range budgets {
 		s := Sum{At: at, Organisation: organisation, Limit: k.newest.Limit, Granted: k.newest.Granted, Untold: k.newest.Granted}
 		for who, e := range k.last {
-			s.add(e, living[who.host] != who || silent > 0 && at-heard[who] > silent)
+			s.add(e, current[who.host] != who || silent > 0 && at-heard[who] > silent)
 		}
 		list = append(list, s)
 	}
@@ -137,7 +138,7 @@
 	return list
 }
 
-// add takes in what an incarnation told last.
+// add adds the last entry of an incarnation.
 func (s *Sum) add(e Entry, ended bool) {
 	s.Used += e.Used
 	s.OnTheWay += e.Lent - e.Recalled - e.Borrowed + e.Given - e.Received
@@ -154,7 +155,7 @@
 	}
 }
 
-// Total sums the newest sums of a series over all budgets.
+// Total adds up the newest sums of a series over all budgets.
 func Total(series []Sum) Sum {
 	var total Sum
 	for _, s := range Newest(series) {
@@ -173,7 +174,7 @@
 	return total
 }
 
-// Newest gives the last sums of a series, those of its last time.
+// Newest returns the sums of a series that have its last time.
 func Newest(series []Sum) []Sum {
 	if len(series) == 0 {
 		return nil
--- a/lib/account/account_test.go
+++ b/lib/account/account_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// line is a line as a host writes it.
+// line returns a log line as a host writes it.
 func line(at, host, incarnation string, values string) string {
 	return fmt.Sprintf(`time="%s" level=info msg="budget held" host=%s incarnation=%s organisation="the org" %s`, at, host, incarnation, values)
 }
@@ -29,7 +29,7 @@
 	return b
 }
 
-func TestWhereTokensAre(t *testing.T) {
+func TestSeriesLocatesTokens(t *testing.T) {
 	is := is.New(t)
 	b := read(t,
 		`time="10:00:00.000" level=info msg="request ended" kind=ok`,
@@ -44,12 +44,12 @@
 	})
 }
 
-// What an earlier incarnation held died with it, whatever budget the later one tells of;
-// without a later one it does once the host is silent for long.
-func TestWhatAnEndedHostHeldDied(t *testing.T) {
+// The tokens of an earlier incarnation count as lost, whichever budget the later one reports;
+// without a later one they do once the host has been silent for long.
+func TestTokensOfExitedHostCountAsDied(t *testing.T) {
 	is := is.New(t)
 	other := strings.Replace(line("10:00:05.000", "b", "2", borrowerLine), "the org", "another", 1)
-	first := func(s []Sum) Sum { // "another" comes first in order
+	first := func(s []Sum) Sum { // "another" sorts first
 		return s[len(s)-1]
 	}
 	b := read(t, line("10:00:01.000", "a", "1", keeperLine), line("10:00:01.500", "b", "1", borrowerLine), other)
@@ -61,8 +61,8 @@
 	is.Equal(Newest(b.Series(0, 30*time.Second))[0].Died, int64(100))
 }
 
-// Whatever hosts tell, the parts make up what is granted.
-func TestPartsMakeUpWhatIsGranted(t *testing.T) {
+// Whatever hosts report, the parts add up to what is granted.
+func TestPartsAddUpToGranted(t *testing.T) {
 	is := is.New(t)
 	b := &Book{}
 	for i := range 500 {
@@ -70,7 +70,7 @@
 		for _, n := range e.numbers() {
 			*n = rand.Int64N(1000)
 		}
-		// A host's own flows balance.
+		// A host's own totals balance.
 		e.Taken = e.Free + e.Reserved + e.Returned + e.Lent + e.Given + e.Used - e.Borrowed - e.Recalled - e.Received
 		b.Add(e)
 	}
@@ -85,13 +85,13 @@
 	}
 }
 
-func TestTimesRiseOverMidnight(t *testing.T) {
+func TestTimesIncreaseAcrossMidnight(t *testing.T) {
 	is := is.New(t)
 	b := read(t, line("23:59:59.900", "a", "1", keeperLine), line("00:00:00.100", "a", "1", keeperLine))
 	is.Equal(b.entries[1].At-b.entries[0].At, 200*time.Millisecond)
 }
 
-func TestBadLineIsNamed(t *testing.T) {
+func TestMalformedLineErrorGivesFileAndLine(t *testing.T) {
 	is := is.New(t)
 	b := &Book{}
 	err := b.Read("a.log", strings.NewReader("one\n"+line("10:00:00.000", "a", "1", "free=x")))
--- a/lib/account/read.go
+++ b/lib/account/read.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// heldLine is the message of the lines that count.
+// heldLine is the message of the lines that Read uses.
 const heldLine = `msg="budget held"`
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the longest line of a log, in bytes.
 const maxLine = 1 << 20
 
-// Read takes in a log of one or more hosts. Lines of other messages are passed over; a line
-// about a budget that can't be read is an error, which names it.
+// Read adds the entries of a log of one or more hosts. It skips lines with other messages. A
+// malformed line about a budget is an error, which gives name and line number.
 func (b *Book) Read(name string, r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// clock makes the times of a log rise over midnight.
+// clock makes the times of a log increase across midnight.
 type clock struct{ last, days time.Duration }
 
 const day = 24 * time.Hour
@@ -51,7 +51,7 @@
 	return c.days + at
 }
 
-// fields splits a line into its keys and values; what is no pair is passed over.
+// fields splits a line into keys and values; it skips text that is not a pair.
 func fields(line string) map[string]string {
 	pairs := map[string]string{}
 	for line != "" {
@@ -69,7 +69,7 @@
 	return pairs
 }
 
-// value takes one value off the beginning of a text.
+// value splits the first value off a text.
 func value(text string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(text); err == nil {
 		value, _ = strconv.Unquote(quoted)
@@ -79,7 +79,7 @@
 	return value, rest
 }
 
-// clockLayout is how the router writes the time of a line.
+// clockLayout is the router's format of the time of a line.
 const clockLayout = "15:04:05.000"
 
 func parse(pairs map[string]string) (Entry, error) {
@@ -105,7 +105,7 @@
 	return e, nil
 }
 
-// numbers maps the keys of a line to what they fill.
+// numbers maps the numeric keys of a line to the fields of e.
 func (e *Entry) numbers() map[string]*int64 {
 	return map[string]*int64{
 		"free": &e.Free, "reserved": &e.Reserved, "granted": &e.Granted, "limit": &e.Limit, "offset": &e.Offset,
