--- a/lib/rendezvous/rendezvous.go
+++ b/lib/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous ranks names for a key by highest random weight, so that a
-// key moves only when a name it ranks first comes or goes.
+// Package rendezvous ranks names for a key by rendezvous hashing (highest random weight):
+// a key moves only when the name it ranks first is added or removed.
 package rendezvous
 
 import (
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// Score is the weight of a name for a key.
+// Score returns the weight of a name for a key.
 func Score(key, name string) uint64 { return NewKey(key).Score(name) }
 
-// Key is a key whose scores are asked for many names.
+// Key is a key prepared for scoring many names.
 type Key uint64
 
 // NewKey prepares a key.
 func NewKey(key string) Key {
-	return Key(add(offset64, key) * prime64) // a zero byte behind it
+	return Key(add(offset64, key) * prime64) // appends a zero byte
 }
 
-// Score is the weight of a name for the key.
+// Score returns the weight of a name for the key.
 func (k Key) Score(name string) uint64 { return mix(add(uint64(k), name)) }
 
 // The constants of 64-bit FNV-1a, written out since hash/fnv allocates.
@@ -35,7 +35,7 @@
 	return sum
 }
 
-// Rank sorts items by descending score for key; ties go by name.
+// Rank returns items sorted by descending score for key; ties are ordered by name.
 func Rank[T any](key string, items []T, name func(T) string) []T {
 	type scored struct {
 		score uint64
