--- a/lib/guard/guard.go
+++ b/lib/guard/guard.go
@@ -1,4 +1,4 @@
-// Package guard starts goroutines that end the process cleanly on a panic.
+// Package guard logs panics of goroutines and then exits the process.
 package guard
 
 import (
@@ -11,7 +11,7 @@
 // exitPanic is the exit status after a panic.
 const exitPanic = 70
 
-// Go runs f on its own goroutine under Panic.
+// Go runs f in a new goroutine that handles panics with Panic. duty is the value of the log field.
 func Go(duty string, f func()) {
 	go func() {
 		defer Panic(duty)
@@ -19,8 +19,8 @@
 	}()
 }
 
-// Panic logs a panic with its stack and ends the process: a host keeps
-// nothing, so it is safer replaced than left half working. Defer it.
+// Panic recovers a panic, logs it with its stack and exits the process: a host has no
+// durable state, so replacing it is safer than leaving it half working. It must be deferred.
 func Panic(duty string) {
 	r := recover()
 	if r == nil {
