--- a/lib/wait/wait.go
+++ b/lib/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait sleeps under a context.
+// Package wait sleeps until a time has passed or a context ends.
 package wait
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Jitter spreads a pause over half of it to one and a half, so that hosts that begin together don't
-// go on together.
+// Jitter returns a random duration from d/2 to 3d/2, so that hosts that start together don't act in
+// step.
 func Jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
