--- a/lib/failure/failure.go
+++ b/lib/failure/failure.go
@@ -1,4 +1,4 @@
-// Package failure reads the detail that hosts attach to errors.
+// Package failure reads the Failure detail that hosts attach to errors.
 package failure
 
 import (
@@ -9,8 +9,8 @@
 	maststagev1 "maststage.dev/api/maststage/v1"
 )
 
-// Of finds the detail in an error of a call, nil if there is none: then the
-// error is not a host's answer.
+// Of returns the detail of an error of a call, or nil if it has none: then the error
+// does not come from a host.
 func Of(err error) *maststagev1.Failure {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
