--- a/lib/errkind/errkind.go
+++ b/lib/errkind/errkind.go
@@ -1,5 +1,5 @@
-// Package errkind is the closed list of error kinds and the one table from
-// kind to answer.
+// Package errkind defines the closed list of error kinds and the only table that maps
+// a kind to a response.
 package errkind
 
 import (
@@ -15,38 +15,38 @@
 
 // The kinds.
 const (
-	Invalid         Kind = "invalid"         // the request itself is wrong
-	Unauthenticated Kind = "unauthenticated" // no or wrong key
-	Refused         Kind = "refused"         // the policy refuses it
-	Budget          Kind = "budget"          // the budget has too little left
-	Overloaded      Kind = "overloaded"      // no target has room in time
-	Deadline        Kind = "deadline"        // not done within its deadline, run to some extent
-	Unavailable     Kind = "unavailable"     // nothing could take it on
-	Draining        Kind = "draining"        // this host is stopping
-	Unknown         Kind = "unknown"         // it may or may not have been run
-	Done            Kind = "done"            // it was run and billed, the answer is no longer kept
-	TargetFailed    Kind = "target_failed"   // it was run and the target failed
-	Conflict        Kind = "conflict"        // another operator was first
+	Invalid         Kind = "invalid"         // the request is malformed
+	Unauthenticated Kind = "unauthenticated" // the key is missing or wrong
+	Refused         Kind = "refused"         // the policy refuses the request
+	Budget          Kind = "budget"          // the remaining budget is too small
+	Overloaded      Kind = "overloaded"      // no target has capacity in time
+	Deadline        Kind = "deadline"        // the deadline passed, the request may have run in part
+	Unavailable     Kind = "unavailable"     // nothing could accept the request
+	Draining        Kind = "draining"        // this host is shutting down
+	Unknown         Kind = "unknown"         // the request may or may not have run
+	Done            Kind = "done"            // the request ran and was billed, its response is no longer stored
+	TargetFailed    Kind = "target_failed"   // the request ran and the target failed
+	Conflict        Kind = "conflict"        // another operator published first
 	NotFound        Kind = "not_found"       // no such thing
-	Internal        Kind = "internal"        // a fault of ours, may have been run
+	Internal        Kind = "internal"        // a fault of the host, the request may have run
 )
 
-// Ran says whether the request was run.
+// Ran says whether the request ran.
 type Ran string
 
-// What can be said of a run.
+// The values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Answer is what a kind is turned into.
+// Answer describes the response for a kind.
 type Answer struct {
 	Code  connect.Code
-	HTTP  int // the status connect gives for Code
+	HTTP  int // the status that connect uses for Code
 	Ran   Ran
-	After time.Duration // when to come back unless the error says so, 0: don't
+	After time.Duration // when to retry unless the error sets it, 0: never
 }
 
 var table = map[Kind]Answer{
@@ -66,7 +66,7 @@
 	Internal:        {connect.CodeInternal, 500, RanUnknown, time.Second},
 }
 
-// Kinds lists all kinds in no order.
+// Kinds returns all kinds in no particular order.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(table))
 	for k := range table {
@@ -75,7 +75,7 @@
 	return kinds
 }
 
-// Lookup gives the answer for a kind; one not on the list counts as Internal.
+// Lookup returns the response for a kind; an unlisted kind counts as Internal.
 func Lookup(k Kind) Answer {
 	a, ok := table[k]
 	if !ok {
@@ -87,16 +87,16 @@
 // Error is an error with a kind.
 type Error struct {
 	Kind  Kind
-	After time.Duration // when to come back, 0: as the table says
+	After time.Duration // when to retry, 0: as in the table
 	err   error
 }
 
-// New makes an error of a kind; the format is that of fmt.Errorf.
+// New returns an error of a kind, with a format as in fmt.Errorf.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, err: fmt.Errorf(format, args...)}
 }
 
-// Retry sets when to come back and returns e.
+// Retry sets when to retry and returns e.
 func (e *Error) Retry(after time.Duration) *Error {
 	e.After = after
 	return e
@@ -104,10 +104,10 @@
 
 func (e *Error) Error() string { return e.err.Error() }
 
-// Unwrap gives the wrapped error.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.err }
 
-// RetryAfter says when to come back, 0: don't.
+// RetryAfter returns when to retry, 0: never.
 func (e *Error) RetryAfter() time.Duration {
 	if e.After > 0 {
 		return e.After
@@ -115,7 +115,7 @@
 	return Lookup(e.Kind).After
 }
 
-// From finds the *Error in err; any other error counts as Internal.
+// From returns the *Error in err; any other error counts as Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
