--- a/lib/settings/settings.go
+++ b/lib/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads an INI file into structs with tags
-// `ini:"name" default:"..."`. A field without a default must be set; a key
-// with a default and without a value counts as not set.
+// `ini:"name" default:"..."`. A field without a default must be set; an empty
+// value of a key that has a default counts as not set.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 )
 
 // Load fills into, a pointer to a struct of sections, from the file at path.
-// An error names file, section, key and reason.
+// An error gives file, section, key and reason.
 func Load(path string, into any) error {
 	f, err := ini.Load(path)
 	if err != nil {
@@ -101,12 +101,12 @@
 		}
 		v.SetBool(b)
 	default:
-		panic(fmt.Sprintf("settings: no rule for a field of type %v", v.Type()))
+		panic(fmt.Sprintf("settings: unsupported field type %v", v.Type()))
 	}
 	return nil
 }
 
-// list splits a text at commas; an empty text is an empty list.
+// list splits text at commas and drops empty items; an empty text gives a nil list.
 func list(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
