--- a/lib/policy/policy.go
+++ b/lib/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy compiles and runs policies: short programs that say how a
-// request is to be treated. docs/design/policies.md says why they are written
-// in expr. A program has no loops, so its cost is bounded by its size.
+// Package policy compiles and runs policies: short programs that decide how a request
+// is handled. docs/design/policies.md explains why they are written in expr. Programs
+// have no loops, so their cost is bounded by their size.
 package policy
 
 import (
@@ -21,37 +21,37 @@
 	maxDeadline = 24 * time.Hour
 )
 
-// Request is what a program sees.
+// Request is the input of a program.
 type Request struct {
 	Class        string `expr:"class"`
 	Organisation string `expr:"organisation"`
 	InputBytes   int    `expr:"input_bytes"`
-	MaxTokens    int    `expr:"max_tokens"` // asked by the caller, 0: not said
+	MaxTokens    int    `expr:"max_tokens"` // requested by the caller, 0: not set
 	Attempt      int    `expr:"attempt"`
-	LogUp        bool   `expr:"log_up"` // whether the platform's log answers
+	LogUp        bool   `expr:"log_up"` // whether the platform's log is available
 }
 
-// env adds the functions of the language to a Request.
+// env is the environment of a program: the Request and the functions.
 type env struct {
 	Request
 	To     func(string) Decision `expr:"to"`
 	Refuse func(string) Decision `expr:"refuse"`
 }
 
-// Decision is what a program makes of a request. Its methods are the words of
-// the language, each gives a changed copy.
+// Decision is the result of a program. Its methods are part of the policy language;
+// each returns a modified copy.
 type Decision struct {
 	Pool     string
-	Reason   string // why it is refused; empty: it is not
+	Reason   string // why the request is refused; empty: it is accepted
 	Rank     int    // larger goes first
-	Single   bool   // may run at most once
+	Single   bool   // the request may run at most once
 	Within   time.Duration
-	Tokens   int  // most tokens of the answer
-	NeedsLog bool // refused while the log is down
-	Spare    int  // tokens reserved beyond the maximum, below 0: as in the settings
+	Tokens   int  // maximum tokens of the response
+	NeedsLog bool // refuse while the log is unavailable
+	Spare    int  // tokens reserved above the maximum, negative: as in the settings
 }
 
-// Default values of a decision that does not say.
+// Defaults of values that a program does not set.
 const (
 	DefaultDeadline = 30 * time.Second
 	DefaultTokens   = 1024
@@ -68,27 +68,27 @@
 	return Decision{Reason: reason}
 }
 
-// Priority sets the priority, larger goes first.
+// Priority sets the priority; larger goes first.
 func (d Decision) Priority(n int) Decision { d.Rank = n; return d }
 
-// Once marks a request that may not be repeated.
+// Once marks a request that must not be retried.
 func (d Decision) Once() Decision { d.Single = true; return d }
 
-// Deadline sets the time for the whole answer, in milliseconds.
+// Deadline sets the time limit of the whole response, in milliseconds.
 func (d Decision) Deadline(ms int) Decision {
 	d.Within = time.Duration(ms) * time.Millisecond
 	return d
 }
 
-// MaxTokens sets the most tokens of an answer.
+// MaxTokens sets the maximum number of tokens of a response.
 func (d Decision) MaxTokens(n int) Decision { d.Tokens = n; return d }
 
-// Margin sets how many tokens are reserved beyond the maximum, for targets that
-// overrun it before they can be stopped. More of it guards the budget better and
-// refuses more near its end.
+// Margin sets how many tokens are reserved above the maximum, for targets that exceed
+// it before they can be stopped. A larger margin protects the budget better and refuses
+// more requests when the budget is nearly exhausted.
 func (d Decision) Margin(n int) Decision { d.Spare = max(n, 0); return d }
 
-// LogRequired refuses the request while the platform's log is down.
+// LogRequired refuses the request while the platform's log is unavailable.
 func (d Decision) LogRequired() Decision { d.NeedsLog = true; return d }
 
 // Program is a compiled policy, safe for concurrent use.
@@ -96,8 +96,8 @@
 	prog *vm.Program
 }
 
-// Compile checks source. The pools it names must satisfy known. An error names
-// line and column.
+// Compile compiles and checks source. known must be true for each pool that it names. An
+// error gives line and column.
 func Compile(source string, known func(pool string) bool) (*Program, error) {
 	if len(source) > maxSource {
 		return nil, fmt.Errorf("program of %d bytes, at most %d", len(source), maxSource)
@@ -113,7 +113,7 @@
 		return nil, describe(err)
 	}
 	if check.err != nil {
-		_ = check.err.Bind(file.NewSource(source)) // finds line and column
+		_ = check.err.Bind(file.NewSource(source)) // sets line and column
 		return nil, describe(check.err)
 	}
 	if got := prog.Node().Type(); got != reflect.TypeFor[Decision]() {
@@ -122,7 +122,7 @@
 	return &Program{prog: prog}, nil
 }
 
-// Decide runs the program.
+// Decide runs the program on a request.
 func (p *Program) Decide(r Request) (Decision, error) {
 	out, err := expr.Run(p.prog, env{Request: r, To: to, Refuse: refuse})
 	if err != nil {
@@ -132,11 +132,11 @@
 	if !ok {
 		return Decision{}, fmt.Errorf("gave %T, not a decision", out)
 	}
-	return d.bound(), nil
+	return d.clamp(), nil
 }
 
-// bound brings values out of range into it.
-func (d Decision) bound() Decision {
+// clamp limits values to their ranges.
+func (d Decision) clamp() Decision {
 	if d.Within <= 0 || d.Within > maxDeadline {
 		d.Within = maxDeadline
 	}
@@ -144,7 +144,7 @@
 	return d
 }
 
-// describe puts line and column in front of a compiler's error.
+// describe prefixes a compiler's error with line and column.
 func describe(err error) error {
 	var fe *file.Error
 	if !errors.As(err, &fe) {
@@ -153,13 +153,13 @@
 	return fmt.Errorf("line %d, column %d: %s", fe.Line, fe.Column+1, fe.Message)
 }
 
-// poolCheck finds calls of to() whose pool is not declared.
+// poolCheck reports the first call of to() whose pool is not declared.
 type poolCheck struct {
 	known func(string) bool
 	err   *file.Error
 }
 
-// Visit looks at one syntax node.
+// Visit checks one syntax node.
 func (c *poolCheck) Visit(node *ast.Node) {
 	call, ok := (*node).(*ast.CallNode)
 	if !ok || c.err != nil {
--- a/lib/policy/policy_test.go
+++ b/lib/policy/policy_test.go
@@ -22,7 +22,7 @@
 	is.Equal(d.Reason, "too long")
 }
 
-func TestBounds(t *testing.T) {
+func TestOutOfRangeValuesAreClamped(t *testing.T) {
 	is := is.New(t)
 	p, err := Compile(`to("p").Deadline(-5).MaxTokens(-1)`, known)
 	is.NoErr(err)
@@ -32,8 +32,8 @@
 	is.Equal(d.Tokens, 0)
 }
 
-// What could run for long or do something else is refused at publish.
-func TestRefused(t *testing.T) {
+// Programs that could run for long or don't return a decision are rejected at publish.
+func TestInvalidProgramsAreRejected(t *testing.T) {
 	for _, c := range []struct{ source, want string }{
 		{`to("q")`, `line 1, column 1: no pool "q"`},
 		{"let x = 1;\nto(class)", "line 2"},
