--- a/lib/declare/declare.go
+++ b/lib/declare/declare.go
@@ -1,6 +1,6 @@
 // Package declare reads the operators' declarations: organisations, budgets,
-// target pools, policies and operators, in INI. The check is deterministic, so
-// that every host accepts or refuses the same text.
+// target pools, policies and operators, in INI. Validation is deterministic, so
+// that all hosts accept or reject the same text.
 package declare
 
 import (
@@ -26,15 +26,15 @@
 
 // Pool kinds.
 const (
-	Engine  = "engine"  // model engines, they stream tokens
-	Service = "service" // plain services, one answer to a call
+	Engine  = "engine"  // model engines, which stream tokens
+	Service = "service" // plain services, one response per call
 )
 
 // Organisation is a customer of the operator.
 type Organisation struct {
 	Name   string `ini:"-"`
 	Key    string `ini:"key_sha256"` // SHA-256 of its key, hex
-	Budget string `ini:"budget"`     // the budget its requests draw on
+	Budget string `ini:"budget"`     // the budget that its requests use
 }
 
 // Budget is a prepaid number of tokens.
@@ -44,26 +44,26 @@
 	Tokens       uint64 `ini:"tokens"`
 }
 
-// Pool is a set of like targets; the membership list says which they are.
+// Pool is a set of equivalent targets, which the membership list names.
 type Pool struct {
 	Name string `ini:"-"`
 	Kind string `ini:"kind"`
 }
 
-// Policy is the program for a class of work.
+// Policy is the program for a class of requests.
 type Policy struct {
 	Class   string          `ini:"-"`
 	Source  string          `ini:"program"`
 	Program *policy.Program `ini:"-"`
 }
 
-// Operator is somebody who may publish.
+// Operator may publish declarations.
 type Operator struct {
 	Name string `ini:"-"`
 	Key  string `ini:"key_sha256"`
 }
 
-// Set is a checked set of declarations.
+// Set is a validated set of declarations.
 type Set struct {
 	Organisations map[string]*Organisation
 	Budgets       map[string]*Budget
@@ -84,7 +84,7 @@
 	}
 }
 
-// Parse reads and checks text. An error names section, key and reason.
+// Parse reads and validates text. An error gives section, key and reason.
 func Parse(text string) (*Set, error) {
 	if len(text) > maxText {
 		return nil, fmt.Errorf("%d bytes of declarations, at most %d", len(text), maxText)
@@ -108,7 +108,7 @@
 	return s, nil
 }
 
-// add reads one section, whose title is a kind and a name.
+// add reads one section, whose title consists of kind and name.
 func (s *Set) add(sec *ini.Section) error {
 	title := sec.Name()
 	if title == ini.DefaultSection {
@@ -125,29 +125,29 @@
 	case "organisation":
 		o := &Organisation{Name: name}
 		s.Organisations[name] = o
-		return mapSection(sec, o, "key_sha256", "budget")
+		return decodeSection(sec, o, "key_sha256", "budget")
 	case "budget":
 		b := &Budget{Name: name}
 		s.Budgets[name] = b
-		return mapSection(sec, b, "organisation", "tokens")
+		return decodeSection(sec, b, "organisation", "tokens")
 	case "pool":
 		p := &Pool{Name: name}
 		s.Pools[name] = p
-		return mapSection(sec, p, "kind")
+		return decodeSection(sec, p, "kind")
 	case "policy":
 		p := &Policy{Class: name}
 		s.Policies[name] = p
-		return mapSection(sec, p, "program")
+		return decodeSection(sec, p, "program")
 	case "operator":
 		o := &Operator{Name: name}
 		s.Operators[name] = o
-		return mapSection(sec, o, "key_sha256")
+		return decodeSection(sec, o, "key_sha256")
 	}
 	return fmt.Errorf("section [%s]: %q is none of organisation, budget, pool, policy, operator", title, kind)
 }
 
-// mapSection fills into from sec; each of keys must be there, no other may.
-func mapSection(sec *ini.Section, into any, keys ...string) error {
+// decodeSection fills into from sec, which must have exactly the given keys.
+func decodeSection(sec *ini.Section, into any, keys ...string) error {
 	for _, k := range keys {
 		if !sec.HasKey(k) {
 			return fmt.Errorf("section [%s]: key %q is missing", sec.Name(), k)
@@ -178,7 +178,7 @@
 	return false
 }
 
-// check looks at what one section says of another.
+// check validates keys, kinds and references between sections, and compiles the policies.
 func (s *Set) check() error {
 	for name, o := range s.Organisations {
 		if err := checkKey("organisation "+name, o.Key); err != nil {
@@ -233,18 +233,18 @@
 	return nil
 }
 
-// HashKey gives the form in which a key is declared.
+// HashKey returns the declared form of a key, its SHA-256 in hex.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// ByKey finds the organisation with a key, nil if there is none.
+// ByKey returns the organisation with a key, or nil.
 func (s *Set) ByKey(key string) *Organisation {
 	return s.byKey[HashKey(key)]
 }
 
-// IsOperator says whether key is that of an operator.
+// IsOperator reports whether key belongs to an operator.
 func (s *Set) IsOperator(key string) bool {
 	sum := []byte(HashKey(key))
 	for _, o := range s.Operators {
--- a/lib/declare/declare_test.go
+++ b/lib/declare/declare_test.go
@@ -20,7 +20,7 @@
 	return b.String()
 }
 
-func TestExamples(t *testing.T) {
+func TestExamplesParse(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse(examples(t))
 	is.NoErr(err)
@@ -31,8 +31,8 @@
 	is.True(!s.IsOperator("pet-food-demo-key"))
 }
 
-// A bad declaration is refused in one line with section, key and reason.
-func TestBadDeclarations(t *testing.T) {
+// An invalid declaration is rejected with a one-line error that gives section, key and reason.
+func TestInvalidDeclarationsAreRejected(t *testing.T) {
 	good := examples(t)
 	for _, c := range []struct{ old, new, want string }{
 		{"budget = pet-food-2026", "budget = none", `section [organisation pet-food]: key "budget": no budget "none" is declared`},
@@ -51,7 +51,7 @@
 		is := is.New(t)
 		_, err := Parse(strings.Replace(good, c.old, c.new, 1))
 		is.True(err != nil)                            // accepted
-		is.True(strings.Contains(err.Error(), c.want)) // says something else
+		is.True(strings.Contains(err.Error(), c.want)) // another error
 		is.True(!strings.Contains(err.Error(), "\n\n"))
 		if t.Failed() {
 			t.Fatalf("%q: %v", c.new, err)
--- a/lib/declare/diff.go
+++ b/lib/declare/diff.go
@@ -42,7 +42,7 @@
 	return out, nil
 }
 
-// sections gives each section's keys and values as one text.
+// sections returns, by section, its sorted keys and values as one text.
 func sections(text string) (map[string]string, error) {
 	f, err := ini.Load([]byte(text))
 	if err != nil {
