--- a/cmd/maststage/account.go
+++ b/cmd/maststage/account.go
@@ -15,7 +15,7 @@
 	"maststage.dev/lib/account"
 )
 
-// accountCmd tells where the tokens of budgets are, from the logs of routers.
+// accountCmd shows where the tokens of budgets are, from the logs of routers.
 type accountCmd struct {
 	organisation string
 	every        time.Duration
@@ -24,26 +24,26 @@
 }
 
 func (*accountCmd) Name() string     { return "account" }
-func (*accountCmd) Synopsis() string { return "tell where the tokens of budgets are, from hosts' logs" }
+func (*accountCmd) Synopsis() string { return "show where the tokens of budgets are, from hosts' logs" }
 func (*accountCmd) Usage() string {
 	return "maststage account [flags] FILE...\n" +
-		"  Reads the lines \"budget held\" of the hosts' logs; - is standard input. Counts tokens:\n" +
+		"  Reads the \"budget held\" lines of the hosts' logs; - is standard input. In tokens:\n" +
 		"  granted = used + reserved + keepers + others + on the way + died + untold.\n"
 }
 
 func (c *accountCmd) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.organisation, "organisation", "", "only that of one organisation")
-	fs.DurationVar(&c.every, "every", 0, "a row each so long, from the first line to the last; 0: the end alone")
-	fs.DurationVar(&c.silent, "silent", 0, "a host that tells nothing for so long has ended; 0: only one that was started again")
+	fs.StringVar(&c.organisation, "organisation", "", "show only this organisation")
+	fs.DurationVar(&c.every, "every", 0, "interval between rows, from the first line to the last; 0: only the state at the end")
+	fs.DurationVar(&c.silent, "silent", 0, "a host that reports nothing for this long counts as exited; 0: only once it was restarted")
 	fs.BoolVar(&c.asJSON, "json", false, "print JSON")
 }
 
 func (c *accountCmd) Execute(_ context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if fs.NArg() == 0 {
-		return usage(fmt.Errorf("name the logs to read"))
+		return usage(fmt.Errorf("no log files given"))
 	}
 	if c.every < 0 || c.silent < 0 {
-		return usage(fmt.Errorf("-every and -silent are not below 0"))
+		return usage(fmt.Errorf("-every and -silent must not be negative"))
 	}
 	var book account.Book
 	for _, path := range fs.Args() {
@@ -53,11 +53,11 @@
 	}
 	series := book.Series(c.every, c.silent)
 	if len(series) == 0 {
-		return fail(fmt.Errorf("no line tells of a budget"))
+		return fail(fmt.Errorf("no \"budget held\" line found"))
 	}
-	list := c.wanted(series)
+	list := c.filter(series)
 	if len(list) == 0 {
-		return fail(fmt.Errorf("no line tells of organisation %s", c.organisation))
+		return fail(fmt.Errorf("no \"budget held\" line found for organisation %s", c.organisation))
 	}
 	if err := c.print(os.Stdout, list); err != nil {
 		return fail(err)
@@ -77,8 +77,8 @@
 	return book.Read(path, file)
 }
 
-// wanted leaves out other organisations; without one, the sum of all is added.
-func (c *accountCmd) wanted(series []account.Sum) []account.Sum {
+// filter returns the sums of the chosen organisation; without one, all sums and their total.
+func (c *accountCmd) filter(series []account.Sum) []account.Sum {
 	if c.organisation == "" {
 		return append(series, account.Total(series))
 	}
--- a/cmd/maststage/account_test.go
+++ b/cmd/maststage/account_test.go
@@ -17,7 +17,7 @@
 time="10:00:02.000" level=info msg="budget held" borrowed=0 free=500 given=0 granted=1000 host=a incarnation=1 keeper=true lent=300 limit=9000 offset=4 organisation=org received=0 recalled=0 reserved=100 returned=0 taken=1000 used=100
 `
 
-func TestAccountOfALog(t *testing.T) {
+func TestAccountTableOfLog(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "a.log")
 	is.NoErr(os.WriteFile(path, []byte(heldLog), 0o600))
@@ -25,13 +25,13 @@
 	is.NoErr(readLog(&book, path))
 	c := &accountCmd{}
 	var out bytes.Buffer
-	is.NoErr(c.print(&out, c.wanted(book.Series(0, 0))))
+	is.NoErr(c.print(&out, c.filter(book.Series(0, 0))))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	is.Equal(len(lines), 3) // the head, the organisation, the sum of all
+	is.Equal(len(lines), 3) // the header, the organisation, the total
 	is.Equal(strings.Fields(lines[1]), []string{"10:00:02", "org", "9000", "1000", "100", "100", "500", "0", "300", "0", "0"})
 	is.Equal(strings.Fields(lines[2])[1], "all")
 	c.organisation = "nobody"
-	is.Equal(len(c.wanted(book.Series(0, 0))), 0)
+	is.Equal(len(c.filter(book.Series(0, 0))), 0)
 }
 
 func TestAccountNeedsLogs(t *testing.T) {
--- a/cmd/maststage/apply.go
+++ b/cmd/maststage/apply.go
@@ -17,9 +17,9 @@
 	"maststage.dev/lib/declare"
 )
 
-const ackPoll = 200 * time.Millisecond
+const ackPollInterval = 200 * time.Millisecond
 
-// applyCmd puts declarations in force.
+// applyCmd publishes declarations.
 type applyCmd struct {
 	remote
 	base int64
@@ -27,15 +27,15 @@
 }
 
 func (*applyCmd) Name() string     { return "apply" }
-func (*applyCmd) Synopsis() string { return "put declarations in force on the whole fleet" }
+func (*applyCmd) Synopsis() string { return "publish declarations to the whole fleet" }
 func (*applyCmd) Usage() string {
-	return "maststage apply [flags] FILE\n  Publishes FILE if the version in force is still the one it was made from, and\n  waits until all live hosts have it. Exit status 3 if another operator was\n  first, 4 if it is in force but hosts have not acknowledged it in time (they are\n  listed), 6 if it is not known whether it was accepted.\n"
+	return "maststage apply [flags] FILE\n  Publishes FILE if the version in force is still the one it is based on, and\n  waits until all live hosts have it. Exit status 3 if another operator published\n  first, 4 if it is in force but some hosts, which are listed, have not acknowledged\n  it in time, 6 if it is not known whether it was accepted.\n"
 }
 
 func (c *applyCmd) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
-	fs.Int64Var(&c.base, "base", -1, "version that FILE was made from; -1: the one in force now")
-	fs.DurationVar(&c.wait, "wait", 12*time.Second, "how long to wait for the hosts")
+	fs.Int64Var(&c.base, "base", -1, "version that FILE is based on; -1: the one in force now")
+	fs.DurationVar(&c.wait, "wait", 12*time.Second, "how long to wait for acknowledgements")
 }
 
 // applied is what apply prints as JSON.
@@ -65,15 +65,15 @@
 	if err != nil {
 		status := fail(err)
 		if status == exitConflict {
-			c.explain(ctx, client, text)
+			c.printConflict(ctx, client, text)
 		}
 		return status
 	}
-	return c.acknowledged(ctx, client, res.Msg.Version)
+	return c.awaitAcks(ctx, client, res.Msg.Version)
 }
 
-// explain tells an operator who was too late what is in force instead.
-func (c *applyCmd) explain(ctx context.Context, client maststagev1connect.OperatorClient, text string) {
+// printConflict shows an operator whose publish lost to another what is in force instead.
+func (c *applyCmd) printConflict(ctx context.Context, client maststagev1connect.OperatorClient, text string) {
 	got, err := client.GetConfig(ctx, connect.NewRequest(&maststagev1.GetConfigRequest{}))
 	if err != nil {
 		return
@@ -83,23 +83,23 @@
 		return
 	}
 	w := tabwriter.NewWriter(os.Stderr, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "version %d is in force; your file would change of it:\n", got.Msg.Version)
+	fmt.Fprintf(w, "version %d is in force; your file would change these sections of it:\n", got.Msg.Version)
 	printChanges(w, changes)
 	_ = w.Flush()
 }
 
-// acknowledged waits until all live hosts have a version.
-func (c *applyCmd) acknowledged(ctx context.Context, client maststagev1connect.OperatorClient, version uint64) subcommands.ExitStatus {
+// awaitAcks waits until all live hosts have acknowledged a version.
+func (c *applyCmd) awaitAcks(ctx context.Context, client maststagev1connect.OperatorClient, version uint64) subcommands.ExitStatus {
 	end := time.Now().Add(c.wait)
 	for {
-		missing, err := behind(ctx, client, version)
+		missing, err := hostsBehind(ctx, client, version)
 		if err == nil && (len(missing) == 0 || time.Now().After(end)) {
 			return c.report(applied{version, missing})
 		}
 		if err != nil && time.Now().After(end) {
 			return fail(fmt.Errorf("version %d is in force, but the hosts can't be listed: %w", version, err))
 		}
-		time.Sleep(ackPoll)
+		time.Sleep(ackPollInterval)
 	}
 }
 
@@ -116,8 +116,8 @@
 	return status
 }
 
-// behind lists hosts that are not known to have a version.
-func behind(ctx context.Context, client maststagev1connect.OperatorClient, version uint64) ([]string, error) {
+// hostsBehind returns the hosts that have not acknowledged a version.
+func hostsBehind(ctx context.Context, client maststagev1connect.OperatorClient, version uint64) ([]string, error) {
 	hosts, err := client.ListHosts(ctx, connect.NewRequest(&maststagev1.ListHostsRequest{}))
 	if err != nil {
 		return nil, err
--- a/cmd/maststage/budgets.go
+++ b/cmd/maststage/budgets.go
@@ -21,12 +21,12 @@
 func (*budgetsCmd) Name() string     { return "budgets" }
 func (*budgetsCmd) Synopsis() string { return "list budgets: granted, held, used, left" }
 func (*budgetsCmd) Usage() string {
-	return "maststage budgets [flags]\n  Counts tokens. granted = consumed + held + stranded; left = total - granted.\n"
+	return "maststage budgets [flags]\n  In tokens: granted = consumed + held + stranded; left = total - granted.\n"
 }
 
 func (c *budgetsCmd) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
-	fs.StringVar(&c.organisation, "organisation", "", "only those of one organisation")
+	fs.StringVar(&c.organisation, "organisation", "", "show only budgets of this organisation")
 }
 
 func (c *budgetsCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/cmd/maststage/check.go
+++ b/cmd/maststage/check.go
@@ -11,11 +11,11 @@
 	"maststage.dev/lib/declare"
 )
 
-// checkCmd checks declarations and policies without a fleet.
+// checkCmd validates declarations and policies without contacting a fleet.
 type checkCmd struct{}
 
 func (*checkCmd) Name() string           { return "check" }
-func (*checkCmd) Synopsis() string       { return "check declarations and policies, offline" }
+func (*checkCmd) Synopsis() string       { return "validate declarations and policies offline" }
 func (*checkCmd) SetFlags(*flag.FlagSet) {}
 func (*checkCmd) Usage() string {
 	return "maststage check FILE\n  Exit status 2 and one line with section, key and reason if FILE is not valid.\n"
@@ -31,10 +31,10 @@
 	return exitOK
 }
 
-// readDeclarations reads and checks the file that the arguments name.
+// readDeclarations reads and validates the file named by the arguments.
 func readDeclarations(fs *flag.FlagSet) (string, *declare.Set, error) {
 	if fs.NArg() != 1 {
-		return "", nil, fmt.Errorf("give one file of declarations")
+		return "", nil, fmt.Errorf("expected one declarations file")
 	}
 	data, err := os.ReadFile(fs.Arg(0))
 	if err != nil {
--- a/cmd/maststage/connect.go
+++ b/cmd/maststage/connect.go
@@ -19,7 +19,7 @@
 	"maststage.dev/lib/failure"
 )
 
-// Environment variables that stand for flags.
+// Environment variables used when flags are not set.
 const (
 	envHost = "MASTSTAGE_HOST"
 	envKey  = "MASTSTAGE_KEY"
@@ -27,7 +27,7 @@
 
 const callTimeout = 20 * time.Second
 
-// remote is what commands that talk to a host have in common.
+// remote holds the flags shared by commands that connect to a host.
 type remote struct {
 	host    string
 	keyFile string
@@ -35,12 +35,12 @@
 }
 
 func (r *remote) flags(fs *flag.FlagSet) {
-	fs.StringVar(&r.host, "host", os.Getenv(envHost), "IP:port of any host; else $"+envHost)
-	fs.StringVar(&r.keyFile, "key-file", "", "file with the key; else $"+envKey)
+	fs.StringVar(&r.host, "host", os.Getenv(envHost), "IP:port of any host; default: $"+envHost)
+	fs.StringVar(&r.keyFile, "key-file", "", "file with the key; default: $"+envKey)
 	fs.StringVar(&r.output, "o", "text", "output: text or json")
 }
 
-// key reads the key.
+// key reads the key from the file or the environment.
 func (r *remote) key() (string, error) {
 	if r.keyFile == "" {
 		if k := os.Getenv(envKey); k != "" {
@@ -55,7 +55,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// operator gives a client with the operator's key.
+// operator returns a client that authenticates with the operator's key.
 func (r *remote) operator() (maststagev1connect.OperatorClient, error) {
 	key, err := r.check()
 	if err != nil {
@@ -72,7 +72,7 @@
 	return maststagev1connect.NewOperatorClient(http.DefaultClient, "http://"+r.host, connect.WithInterceptors(add)), nil
 }
 
-// check looks at the flags and gives the key.
+// check validates the flags and returns the key.
 func (r *remote) check() (string, error) {
 	if r.host == "" {
 		return "", fmt.Errorf("no host: set $%s or give -host IP:port", envHost)
@@ -83,7 +83,7 @@
 	return r.key()
 }
 
-// print writes v as JSON or as the table that rows makes.
+// print writes v as JSON, or the table written by rows.
 func (r *remote) print(v any, rows func(w *tabwriter.Writer)) subcommands.ExitStatus {
 	if r.output == "json" {
 		e := json.NewEncoder(os.Stdout)
@@ -101,7 +101,7 @@
 	return exitOK
 }
 
-// fail prints one line and gives the exit status of an error.
+// fail prints err on one line and returns its exit status.
 func fail(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, "maststage:", oneLine(err))
 	f := failure.Of(err)
--- a/cmd/maststage/diff.go
+++ b/cmd/maststage/diff.go
@@ -13,7 +13,7 @@
 	"maststage.dev/lib/declare"
 )
 
-// diffCmd compares a file with what is in force.
+// diffCmd compares a file with the declarations in force.
 type diffCmd struct{ remote }
 
 func (*diffCmd) Name() string     { return "diff" }
@@ -25,7 +25,7 @@
 
 // difference is what diff prints as JSON.
 type difference struct {
-	Version uint64           `json:"version"` // in force
+	Version uint64           `json:"version"` // the version in force
 	Changes []declare.Change `json:"changes"`
 }
 
--- a/cmd/maststage/drain.go
+++ b/cmd/maststage/drain.go
@@ -11,13 +11,13 @@
 	maststagev1 "maststage.dev/api/maststage/v1"
 )
 
-// drainCmd begins a planned stop of a host.
+// drainCmd starts a graceful shutdown of a host.
 type drainCmd struct{ remote }
 
 func (*drainCmd) Name() string     { return "drain" }
-func (*drainCmd) Synopsis() string { return "stop a host without cutting anything off" }
+func (*drainCmd) Synopsis() string { return "shut down a host without aborting requests" }
 func (*drainCmd) Usage() string {
-	return "maststage drain [flags] HOST\n  Begins a planned stop of the host of that name, and returns; 'hosts' shows when\n  it is gone.\n"
+	return "maststage drain [flags] HOST\n  Starts a graceful shutdown of the named host and returns; 'hosts' shows when it\n  is gone.\n"
 }
 func (c *drainCmd) SetFlags(fs *flag.FlagSet) { c.flags(fs) }
 
--- a/cmd/maststage/hash.go
+++ b/cmd/maststage/hash.go
@@ -13,7 +13,7 @@
 	"maststage.dev/lib/declare"
 )
 
-// hashCmd turns a key into the form in which it is declared.
+// hashCmd prints the form in which a key is declared.
 type hashCmd struct{}
 
 func (*hashCmd) Name() string           { return "hash" }
--- a/cmd/maststage/hosts.go
+++ b/cmd/maststage/hosts.go
@@ -16,9 +16,9 @@
 type hostsCmd struct{ remote }
 
 func (*hostsCmd) Name() string     { return "hosts" }
-func (*hostsCmd) Synopsis() string { return "list the hosts as one of them sees them" }
+func (*hostsCmd) Synopsis() string { return "list the hosts as seen by one of them" }
 func (*hostsCmd) Usage() string {
-	return "maststage hosts [flags]\n  CONFIG and OFFSET are the configuration version and the log offset that the\n  host has in force; 0: it was not heard of.\n"
+	return "maststage hosts [flags]\n  CONFIG and OFFSET are the configuration version and the log offset that the\n  host has applied; 0: it has not reported any.\n"
 }
 func (c *hostsCmd) SetFlags(fs *flag.FlagSet) { c.flags(fs) }
 
--- a/cmd/maststage/main.go
+++ b/cmd/maststage/main.go
@@ -1,4 +1,4 @@
-// Maststage is the operators' and testers' command-line tool.
+// Maststage is the command-line tool for operators and testers.
 package main
 
 import (
@@ -12,12 +12,12 @@
 // Exit statuses, for scripts.
 const (
 	exitOK       = subcommands.ExitSuccess
-	exitFailed   = subcommands.ExitFailure    // 1: it did not work
-	exitUsage    = subcommands.ExitUsageError // 2: bad flags or bad input
-	exitConflict = subcommands.ExitStatus(3)  // another operator was first
+	exitFailed   = subcommands.ExitFailure    // 1: the command failed
+	exitUsage    = subcommands.ExitUsageError // 2: invalid flags or input
+	exitConflict = subcommands.ExitStatus(3)  // another operator published first
 	exitPartial  = subcommands.ExitStatus(4)  // in force, but not acknowledged by all hosts
 	exitDiffers  = subcommands.ExitStatus(5)  // diff found differences
-	exitUnknown  = subcommands.ExitStatus(6)  // may or may not have taken effect
+	exitUnknown  = subcommands.ExitStatus(6)  // the call may or may not have taken effect
 )
 
 func main() {
--- a/cmd/maststage/run.go
+++ b/cmd/maststage/run.go
@@ -31,16 +31,16 @@
 func (*runCmd) Name() string     { return "run" }
 func (*runCmd) Synopsis() string { return "send one request as a caller" }
 func (*runCmd) Usage() string {
-	return "maststage run -class CLASS [flags] < INPUT\n  Sends standard input and streams the answer to standard output. Exit status 0\n  only for a whole answer, 1 if it was not run, 6 if it may have been.\n"
+	return "maststage run -class CLASS [flags] < INPUT\n  Sends standard input and streams the answer to standard output. Exit status 0\n  only for a whole answer, 1 if the request was not run, 6 if it may have been.\n"
 }
 
 func (c *runCmd) SetFlags(fs *flag.FlagSet) {
 	c.flags(fs)
-	fs.StringVar(&c.class, "class", "", "class of work")
-	fs.StringVar(&c.id, "id", "", "request id; a new one if empty")
-	fs.UintVar(&c.tokens, "max-tokens", 0, "most tokens, 0: the policy's")
-	fs.UintVar(&c.attempt, "attempt", 1, "above 1 if an earlier try with this id may have run")
-	fs.DurationVar(&c.timeout, "timeout", time.Minute, "give up after this")
+	fs.StringVar(&c.class, "class", "", "class of the request")
+	fs.StringVar(&c.id, "id", "", "request id; generated if empty")
+	fs.UintVar(&c.tokens, "max-tokens", 0, "maximum number of tokens; 0: as set by the policy")
+	fs.UintVar(&c.attempt, "attempt", 1, "above 1 if an earlier attempt with this id may have run")
+	fs.DurationVar(&c.timeout, "timeout", time.Minute, "time limit of the request")
 }
 
 func (c *runCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -69,10 +69,10 @@
 		return fail(err)
 	}
 	defer s.Close()
-	return c.follow(s)
+	return c.printStream(s)
 }
 
-func (c *runCmd) follow(s *connect.ServerStreamForClient[maststagev1.RunResponse]) subcommands.ExitStatus {
+func (c *runCmd) printStream(s *connect.ServerStreamForClient[maststagev1.RunResponse]) subcommands.ExitStatus {
 	for s.Receive() {
 		m := s.Msg()
 		if m.End != nil {
@@ -85,11 +85,11 @@
 	}
 	err := s.Err()
 	if err == nil {
-		err = fmt.Errorf("request %s: the answer was cut off", c.id)
+		err = fmt.Errorf("request %s: the answer is incomplete", c.id)
 	}
 	status := fail(err)
 	if f := failure.Of(err); f != nil {
-		fmt.Fprintf(os.Stderr, "request %s, run: %s, come back in %d ms\n", c.id, f.Ran, f.RetryAfterMs)
+		fmt.Fprintf(os.Stderr, "request %s, run: %s, retry after %d ms\n", c.id, f.Ran, f.RetryAfterMs)
 	}
 	return status
 }
