--- a/cmd/maststaged/main.go
+++ b/cmd/maststaged/main.go
@@ -1,4 +1,4 @@
-// Maststaged is the daemon, one on each host.
+// Maststaged is the Maststage daemon. Each host runs one.
 package main
 
 import (
@@ -22,13 +22,13 @@
 	exitSettings = 2
 )
 
-// timestamps of log lines have milliseconds: lines of several hosts are read side by side.
-const timestamps = "2006-01-02T15:04:05.000Z07:00"
+// timestampFormat includes milliseconds, because log lines of several hosts are read together.
+const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func main() {
 	defer guard.Panic("main")
 	path := flag.String("config", "/etc/maststage/maststaged.ini", "settings file")
-	check := flag.Bool("check", false, "check the settings and exit")
+	check := flag.Bool("check", false, "validate the settings and exit")
 	flag.Parse()
 	cfg, err := settings.Load(*path)
 	if err != nil {
@@ -39,37 +39,37 @@
 		fmt.Println(*path + ": ok")
 		return
 	}
-	setLog(cfg.Log, cfg.Host.Name)
+	setupLog(cfg.Log, cfg.Host.Name)
 	if err := serve(node.New(cfg)); err != nil {
-		log.WithError(err).Error("ended")
+		log.WithError(err).Error("daemon failed")
 		os.Exit(exitFailed)
 	}
 }
 
-func setLog(cfg settings.Log, host string) {
-	level, _ := log.ParseLevel(cfg.Level) // checked with the settings
+func setupLog(cfg settings.Log, host string) {
+	level, _ := log.ParseLevel(cfg.Level) // validated with the settings
 	log.SetLevel(level)
-	log.SetFormatter(&log.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestamps})
+	log.SetFormatter(&log.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestampFormat})
 	if cfg.Format == settings.FormatJSON {
-		log.SetFormatter(&log.JSONFormatter{TimestampFormat: timestamps})
+		log.SetFormatter(&log.JSONFormatter{TimestampFormat: timestampFormat})
 	}
 	log.AddHook(hostHook(host))
 }
 
-// hostHook adds the host's name to each line.
+// hostHook adds the host's name to each log line.
 type hostHook string
 
-// Levels are all.
+// Levels implements log.Hook.
 func (hostHook) Levels() []log.Level { return log.AllLevels }
 
-// Fire adds the field.
+// Fire implements log.Hook.
 func (h hostHook) Fire(e *log.Entry) error {
 	e.Data["host"] = string(h)
 	return nil
 }
 
-// serve runs the node. The first SIGTERM or SIGINT is a planned stop, the
-// second ends the process at once.
+// serve runs the node. The first SIGTERM or SIGINT starts a graceful shutdown,
+// the second exits at once.
 func serve(n *node.Node) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
