--- a/cmd/maststage/account.go
+++ b/cmd/maststage/account.go
@@ -34,7 +34,7 @@
 func (c *accountCmd) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.organisation, "organisation", "", "show only this organisation")
 	fs.DurationVar(&c.every, "every", 0, "interval between rows, from the first line to the last; 0: only the state at the end")
-	fs.DurationVar(&c.silent, "silent", 0, "a host that reports nothing for this long counts as exited; 0: only once it was restarted")
+	fs.DurationVar(&c.silent, "silent", 0, "a host that reports nothing for this long counts as exited; 0: only one that was restarted")
 	fs.BoolVar(&c.asJSON, "json", false, "print JSON")
 }
 
--- a/cmd/maststage/hosts.go
+++ b/cmd/maststage/hosts.go
@@ -18,7 +18,7 @@
 func (*hostsCmd) Name() string     { return "hosts" }
 func (*hostsCmd) Synopsis() string { return "list the hosts as seen by one of them" }
 func (*hostsCmd) Usage() string {
-	return "maststage hosts [flags]\n  CONFIG and OFFSET are the configuration version and the log offset that the\n  host has applied; 0: it has not reported any.\n"
+	return "maststage hosts [flags]\n  CONFIG and OFFSET are the configuration version and the log offset that the\n  host has applied; 0: no report of it was received.\n"
 }
 func (c *hostsCmd) SetFlags(fs *flag.FlagSet) { c.flags(fs) }
 
