--- a/router/limit/limit.go
+++ b/router/limit/limit.go
@@ -1,5 +1,6 @@
-// Package limit reads the limits that targets name for themselves: requests a second that a target
-// takes from all hosts together, for as long as its answers say so.
+// Package limit reads the rate limits that targets advertise in their responses, and the notices by which hosts
+// inform each other of them. A limit is the number of requests per second that a target accepts from all hosts
+// together, and holds for as long as its responses say so.
 package limit
 
 import (
@@ -9,23 +10,23 @@
 	"strings"
 )
 
-// Advertisement is what one answer says of its target's limit.
+// Advertisement is what one response says about its target's limit.
 type Advertisement struct {
 	HasLimit  bool
-	PerSecond float64 // requests a second from all hosts together; 0 is a limit, too
-	Refusal   bool    // the answer is that the request was not run
+	PerSecond float64 // requests per second from all hosts together; 0 is a valid limit
+	Refusal   bool    // the response says that the request was not run
 }
 
-// mostPerSecond is above what any target takes: a larger number is a mistake.
-const mostPerSecond = 1e6
+// maxPerSecond is above what any target accepts. A larger number is an error.
+const maxPerSecond = 1e6
 
-// decimal is a number without sign or exponent.
+// decimal matches a number without sign or exponent.
 var decimal = regexp.MustCompile(`^([0-9]+(\.[0-9]*)?|\.[0-9]+)$`)
 
-// mostDigits bounds the length of a number.
-const mostDigits = 64
+// maxDigits bounds the length of a number.
+const maxDigits = 64
 
-// ValueError tells that an answer names a limit that can't be read.
+// ValueError reports an unreadable limit in a response.
 type ValueError struct {
 	Values []string
 	Reason string
@@ -35,26 +36,26 @@
 	return fmt.Sprintf("limit %.100q %s", e.Values, e.Reason)
 }
 
-// Parse reads the values that an answer has for the limit of its target; none: it names no limit.
-// Its error is a *ValueError.
+// Parse reads the limit values of a response. No values mean that it advertises no limit. Errors are of type
+// *ValueError.
 func Parse(values []string, refusal bool) (Advertisement, error) {
 	s := Advertisement{Refusal: refusal}
 	switch {
 	case len(values) == 0:
 		return s, nil
 	case len(values) > 1:
-		return s, &ValueError{values, "is named more than once"}
+		return s, &ValueError{values, "is given more than once"}
 	}
 	text := strings.TrimSpace(values[0])
-	if len(text) > mostDigits || !decimal.MatchString(text) {
+	if len(text) > maxDigits || !decimal.MatchString(text) {
 		return s, &ValueError{values, "is not a decimal number"}
 	}
 	perSecond, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return s, &ValueError{values, "is not a decimal number"}
 	}
-	if perSecond > mostPerSecond {
-		return s, &ValueError{values, "is more than any target takes"}
+	if perSecond > maxPerSecond {
+		return s, &ValueError{values, "is larger than any target accepts"}
 	}
 	s.HasLimit, s.PerSecond = true, perSecond
 	return s, nil
--- a/router/limit/limit_test.go
+++ b/router/limit/limit_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a limit that is read wrongly, or that is invented where an answer names none.
+// Guards against a limit that is read wrongly, or reported where a response has none.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]float64{
 		"1": 1, "1.5": 1.5, "0": 0, "0.0": 0, ".5": 0.5, " 2 ": 2, "1000000": 1e6, "0.001": 0.001,
@@ -25,7 +25,8 @@
 	is.Equal(s, Advertisement{Refusal: true})
 }
 
-func TestValuesThatNameNoLimit(t *testing.T) {
+// Guards against an invalid limit that takes effect, or floods the log with its text.
+func TestInvalidLimitsAreRejected(t *testing.T) {
 	for _, values := range [][]string{
 		{""}, {"-1"}, {"+1"}, {"NaN"}, {"Inf"}, {"1e99"}, {"1e1"}, {"0x10"}, {"1,5"}, {"1 2"}, {"1_0"}, {"."}, {"many"},
 		{"1000001"}, {"99999999999999999999"}, {strings.Repeat("1", 5000)}, {"1", "1"}, {"1", "2"},
@@ -39,14 +40,14 @@
 	}
 }
 
-// FuzzParse: whatever is named is a number that a host can work with.
+// FuzzParse checks that every accepted limit is a number within bounds.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"1.5", "-0", "1e99", "NaN", "0", ""} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse([]string{text}, false)
-		if s.HasLimit != (err == nil) || !(s.PerSecond >= 0 && s.PerSecond <= mostPerSecond) {
+		if s.HasLimit != (err == nil) || !(s.PerSecond >= 0 && s.PerSecond <= maxPerSecond) {
 			t.Fatalf("%q: %+v, %v", text, s, err)
 		}
 	})
--- a/router/limit/notice.go
+++ b/router/limit/notice.go
@@ -8,30 +8,29 @@
 	"maststage.dev/router/eventlog"
 )
 
-// Notice is what hosts tell each other of the limit of a target, by a record that stands for as long
-// as the limit does.
+// Notice is a record by which hosts inform each other of a target's limit. It exists for as long as the limit does.
 type Notice struct {
 	Target    string  `json:"target"`
-	StartedAt int64   `json:"born,omitempty"` // start of the target's process in Unix milliseconds, 0: not told
+	StartedAt int64   `json:"born,omitempty"` // start of the target's process in Unix milliseconds; 0 if unknown
 	PerSecond float64 `json:"per_second"`
-	// ByRefusals says that only refusals name the limit, so that other answers don't tell of its end.
+	// ByRefusals means that only refusals advertise the limit, so that other responses don't show its end.
 	ByRefusals bool `json:"by_refusals,omitempty"`
-	// Raises counts how often the limit was raised beyond what refusals named, to see whether it
-	// has ended.
+	// Raises counts how often the limit was raised above what refusals advertised, to find out whether it has
+	// ended.
 	Raises int    `json:"raises,omitempty"`
-	AgeMs  int64  `json:"age_ms,omitempty"` // since the writer heard it of the target
-	Host   string `json:"host"`             // that wrote it
-	// InForce is false for a target whose record was deleted.
+	AgeMs  int64  `json:"age_ms,omitempty"` // time since the writer received the limit from the target
+	Host   string `json:"host"`             // that wrote the notice
+	// InForce is false if the limit has ended and its record was deleted.
 	InForce bool `json:"-"`
 }
 
-// KeyPrefix begins the keys of notices in the topic where they stand; the target's id follows.
+// KeyPrefix precedes the target's id in the key of a notice's record.
 const KeyPrefix = "limit/"
 
-// mostAgeMs is an hour: no host writes what it heard so long ago.
-const mostAgeMs = 60 * 60 * 1000
+// maxAgeMs is an hour, longer than any host waits before it writes a notice.
+const maxAgeMs = 60 * 60 * 1000
 
-// Record is the notice as it stands in the topic. One of a limit that has ended deletes the record.
+// Record encodes the notice as a record of the topic. The record of a limit that has ended is a deletion.
 func (n Notice) Record() (eventlog.Record, error) {
 	rec := eventlog.Record{Key: KeyPrefix + n.Target}
 	if !n.InForce {
@@ -42,7 +41,7 @@
 	return rec, err
 }
 
-// ParseNotice reads a record of the topic; ok is false for records of other kinds.
+// ParseNotice decodes a record of the topic. ok is false for records of other kinds.
 func ParseNotice(rec eventlog.Record) (n Notice, ok bool, err error) {
 	id, ok := strings.CutPrefix(rec.Key, KeyPrefix)
 	if !ok {
@@ -55,13 +54,13 @@
 		return n, true, fmt.Errorf("limit: notice of target %q: %w", id, err)
 	}
 	if n.Target != id {
-		return n, true, fmt.Errorf("limit: notice of target %q stands under %q", n.Target, id)
+		return n, true, fmt.Errorf("limit: notice of target %q has the key of target %q", n.Target, id)
 	}
-	if !(n.PerSecond >= 0 && n.PerSecond <= mostPerSecond) {
-		return n, true, fmt.Errorf("limit: notice of target %q: %v is no limit", id, n.PerSecond)
+	if !(n.PerSecond >= 0 && n.PerSecond <= maxPerSecond) {
+		return n, true, fmt.Errorf("limit: notice of target %q: invalid limit %v", id, n.PerSecond)
 	}
-	if n.AgeMs < 0 || n.AgeMs > mostAgeMs || n.Raises < 0 {
-		return n, true, fmt.Errorf("limit: notice of target %q: age %d ms, raised %d times", id, n.AgeMs, n.Raises)
+	if n.AgeMs < 0 || n.AgeMs > maxAgeMs || n.Raises < 0 {
+		return n, true, fmt.Errorf("limit: notice of target %q: invalid age %d ms or count of raises %d", id, n.AgeMs, n.Raises)
 	}
 	n.InForce = true
 	return n, true, nil
--- a/router/limit/notice_test.go
+++ b/router/limit/notice_test.go
@@ -8,8 +8,8 @@
 	"maststage.dev/router/eventlog"
 )
 
-// Guards against a notice that other hosts read otherwise than it was meant.
-func TestNoticeIsReadAsItWasWritten(t *testing.T) {
+// Guards against a notice that other hosts decode to something else than was written.
+func TestNoticeRoundTrip(t *testing.T) {
 	for _, n := range []Notice{
 		{Target: "t", PerSecond: 1.5, StartedAt: 7, Host: "h", AgeMs: 300, InForce: true},
 		{Target: "t", PerSecond: 0, ByRefusals: true, Raises: 2, InForce: true},
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against records of other writers that put a limit in force, or stop a host.
-func TestRecordsThatAreNoNotices(t *testing.T) {
+// Guards against invalid records, or those of other kinds, that set a limit or crash a host.
+func TestInvalidNoticesAreRejected(t *testing.T) {
 	is := is.New(t)
 	_, ok, err := ParseNotice(eventlog.Record{Key: "host-1", Value: []byte("{}")})
 	is.True(!ok)
