--- a/router/routing/config.go
+++ b/router/routing/config.go
@@ -1,5 +1,5 @@
-// Package routing is the configuration of the fleet: which request goes to which
-// service, who may send it, and how long it may take. It is pure.
+// Package routing is the fleet's configuration: which request goes to which service, who may send it and how long
+// it may take. It does no I/O.
 package routing
 
 import (
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind says whether requests of a route may be sent again.
 type Kind string
 
 // The kinds of a route.
 const (
 	Safe      Kind = "safe"      // may run more than once
 	Unsafe    Kind = "unsafe"    // runs at most once
-	Streaming Kind = "streaming" // an event stream; may be repeated if it is resumable
+	Streaming Kind = "streaming" // an event stream; may be sent again if the route is resumable
 )
 
-// Config is one version of the configuration. It is not changed once it is indexed.
+// Config is one version of the configuration. It must not be changed after Index.
 type Config struct {
 	Version       int64          `json:"version"`
 	Routes        []Route        `json:"routes"`
@@ -29,15 +29,15 @@
 	Limits        Limits         `json:"limits"`
 	Organisations []Organisation `json:"organisations"`
 
-	byHost         map[string][]*Route // longest prefix first
-	byKey          map[string]*Organisation
-	byOrganisation map[string]*Organisation
-	byService      map[string]*Service
-	maxRank        int
-	restricted     bool // some route or organisation names regions
+	byHost             map[string][]*Route // longest prefix first
+	byKey              map[string]*Organisation
+	byOrganisation     map[string]*Organisation
+	byService          map[string]*Service
+	leastRoutePriority int
+	restricted         bool // some route or organisation restricts the regions
 }
 
-// Route maps a host and a path prefix to a service. Times are milliseconds.
+// Route maps a host name and a path prefix to a service. Times are in milliseconds.
 type Route struct {
 	Name            string   `json:"name"`
 	Host            string   `json:"host"`
@@ -47,43 +47,42 @@
 	TargetLatencyMs float64  `json:"target_latency_ms"`
 	GapTargetMs     float64  `json:"gap_target_ms"`
 	Priority        int      `json:"priority"` // 0 is the most urgent
-	Service         string   `json:"service"`  // when Split is empty
+	Service         string   `json:"service"`  // used if Split is empty
 	Split           []Weight `json:"split"`
 	MaxAttempts     int      `json:"max_attempts"`
 	Public          bool     `json:"public"` // needs no key
 	Resumable       bool     `json:"resumable"`
-	Sticky          bool     `json:"sticky"` // prompts share parts
-	// AllowedRegions are the only regions in which its requests may be served; empty: any.
+	Sticky          bool     `json:"sticky"` // prompts share parts, so affinity helps
+	// AllowedRegions are the only regions in which its requests may be served; empty means any.
 	AllowedRegions []string `json:"allowed_regions"`
 }
 
-// Weight is one part of a weighted split.
+// Weight is the share of one service in a weighted split.
 type Weight struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a set of targets.
+// Service is a set of equivalent targets.
 type Service struct {
 	Name       string  `json:"name"`
 	HealthPath string  `json:"health_path"`
-	MaxConns   int     `json:"max_conns"` // at one target, from all hosts together
-	Engine     *Engine `json:"engine"`    // set for model engines
-	// ColdPerS is how many requests a second a target bears that is cold after its start,
-	// from all hosts together; 0: any number. It is cold for ColdS seconds.
+	MaxConns   int     `json:"max_conns"` // per target, from all hosts together
+	Engine     *Engine `json:"engine"`    // nil unless the targets are model engines
+	// ColdPerS is how many requests per second a target accepts from all hosts together while it is cold,
+	// for ColdS seconds after its start; 0 means no limit.
 	ColdPerS float64 `json:"cold_per_s"`
 	ColdS    float64 `json:"cold_s"`
 }
 
-// Engine describes the model engines of a service.
 type Engine struct {
-	Slots  int     `json:"slots"`  // requests in a batch
-	Stride float64 `json:"stride"` // most tokens in one event of a stream
-	// KVCapacity is the memory of one target in tokens.
+	Slots  int     `json:"slots"`  // requests processed in one batch
+	Stride float64 `json:"stride"` // maximum tokens in one event of a stream
+	// KVCapacity is the size of one target's key-value cache in tokens.
 	KVCapacity int64 `json:"kv_capacity"`
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"max_header_bytes"`
 	MaxBodyBytes    int64   `json:"max_body_bytes"`
@@ -91,32 +90,32 @@
 	IdleTimeoutMs   float64 `json:"idle_timeout_ms"`
 }
 
-// Organisation is a customer, with keys and a prepaid budget.
+// Organisation is a customer with keys and a prepaid budget.
 type Organisation struct {
 	Name     string   `json:"name"`
 	Keys     []string `json:"keys"`
 	Priority int      `json:"priority"` // 0 is the most urgent
-	// Prepaid is the most tokens that the organisation may use; nil: no limit.
+	// Prepaid is the number of tokens that the organisation may use; nil means no limit.
 	Prepaid *int64 `json:"prepaid"`
-	// AllowedRegions are the only regions in which its requests may be served; empty: any.
+	// AllowedRegions are the only regions in which its requests may be served; empty means any.
 	AllowedRegions []string `json:"allowed_regions"`
 }
 
-// Milliseconds turns a configured number into a duration.
+// Milliseconds converts a configured number of milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Timeout is the longest time that a request of the route is held; 0: no limit.
+// Timeout is the maximum duration of the route's requests; 0 means no limit.
 func (r *Route) Timeout() time.Duration { return Milliseconds(r.TimeoutMs) }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether the route's requests may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Attempts is the largest number of targets that one request may be sent to.
+// Attempts is the maximum number of targets that one request may be sent to.
 func (r *Route) Attempts() int { return max(r.MaxAttempts, 1) }
 
-// Parse reads a configuration in the product's own format.
+// Parse decodes and indexes a configuration in the product's own JSON format.
 func Parse(data []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(data, c); err != nil {
@@ -128,11 +127,11 @@
 	return c, nil
 }
 
-// ErrNoVersion means that a configuration has no version.
+// ErrNoVersion reports a configuration without a version.
 var ErrNoVersion = errors.New("configuration: version is missing")
 
-// Index prepares the lookups and checks what they rely on. It is called once,
-// before the configuration is shared.
+// Index builds the lookup tables and validates what they rely on. It must be called once, before the
+// configuration is shared between goroutines.
 func (c *Config) Index() error {
 	if c.Version <= 0 {
 		return ErrNoVersion
@@ -160,7 +159,7 @@
 		host := strings.ToLower(route.Host)
 		c.byHost[host] = append(c.byHost[host], route)
 		c.restricted = c.restricted || len(route.AllowedRegions) > 0
-		c.maxRank = max(c.maxRank, route.Priority)
+		c.leastRoutePriority = max(c.leastRoutePriority, route.Priority)
 	}
 	for _, routes := range c.byHost {
 		sort.SliceStable(routes, func(i, j int) bool {
@@ -170,8 +169,8 @@
 	return nil
 }
 
-// Match finds the route for a host and a path, nil if there is none. The path is
-// the one on the wire, without its query.
+// Match returns the route for a host name and a path, or nil if there is none. The path is as received, without
+// its query.
 func (c *Config) Match(host, path string) *Route {
 	for _, route := range c.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// hostName drops the port of a Host header.
+// hostName strips the port from a Host header and lowers its case.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -189,29 +188,30 @@
 	return strings.ToLower(host)
 }
 
-// ByKey finds the organisation that holds a key, nil if none does.
+// ByKey returns the organisation that has the key, or nil.
 func (c *Config) ByKey(key string) *Organisation { return c.byKey[key] }
 
-// Organisation finds a organisation by name, nil if there is none.
+// Organisation returns the organisation with the name, or nil.
 func (c *Config) Organisation(name string) *Organisation { return c.byOrganisation[name] }
 
-// Service finds a service by name, nil if there is none.
+// Service returns the service with the name, or nil.
 func (c *Config) Service(name string) *Service { return c.byService[name] }
 
-// maxPriority is the least urgent priority of an engine.
-const maxPriority = 9
+// leastEnginePriority is the least urgent priority that an engine accepts.
+const leastEnginePriority = 9
 
-// RequestPriority is the priority of a request at an engine, 0 (first) to 9: the organisation's
-// priority goes before the route's.
+// RequestPriority is the priority of a request at an engine, from 0 (most urgent) to 9. The organisation's
+// priority takes precedence over the route's.
 func (c *Config) RequestPriority(organisation *Organisation, route *Route) int {
-	rank := route.Priority
+	priority := route.Priority
 	if organisation != nil {
-		rank += organisation.Priority * (c.maxRank + 1)
+		priority += organisation.Priority * (c.leastRoutePriority + 1)
 	}
-	return min(max(rank, 0), maxPriority)
+	return min(max(priority, 0), leastEnginePriority)
 }
 
-// PickService chooses the service of a request; draw is a random number in [0, 1).
+// PickService chooses the service of a request by the weights of the route's split. draw is a random number in
+// [0, 1).
 func (r *Route) PickService(draw float64) string {
 	if len(r.Split) == 0 {
 		return r.Service
@@ -220,12 +220,12 @@
 	for _, part := range r.Split {
 		total += part.Weight
 	}
-	at := draw * total
+	rest := draw * total
 	for _, part := range r.Split {
-		if at < part.Weight {
+		if rest < part.Weight {
 			return part.Service
 		}
-		at -= part.Weight
+		rest -= part.Weight
 	}
 	return r.Split[len(r.Split)-1].Service
 }
--- a/router/routing/config_test.go
+++ b/router/routing/config_test.go
@@ -15,7 +15,7 @@
 	return c
 }
 
-const config = `{"version":3,"unknown":{"x":1},
+const testConfig = `{"version":3,"unknown":{"x":1},
  "routes":[
   {"name":"root","host":"A.example","path_prefix":"/","service":"s0"},
   {"name":"short","host":"a.example","path_prefix":"/x/","service":"s1"},
@@ -23,8 +23,9 @@
   {"name":"other","host":"b.example","path_prefix":"/x/","service":"s3"}],
  "organisations":[{"name":"t","keys":["k1","k2"],"priority":1,"prepaid":100},{"name":"u","keys":["k3"]}]}`
 
-func TestMatch(t *testing.T) {
-	c := parse(t, config)
+// Guards against a request that gets the route of another host name or of a shorter prefix.
+func TestLongestPathPrefixMatches(t *testing.T) {
+	c := parse(t, testConfig)
 	cases := []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "long"},
 		{"a.example", "/x/y/", "long"},
@@ -50,9 +51,9 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestOrganisationsAreFoundByKeyAndName(t *testing.T) {
 	is := is.New(t)
-	c := parse(t, config)
+	c := parse(t, testConfig)
 	is.Equal(c.ByKey("k2").Name, "t")
 	is.Equal(c.ByKey("k3").Name, "u")
 	is.Equal(c.ByKey("k4"), nil)
@@ -60,17 +61,18 @@
 	is.Equal(c.Organisation("u").Prepaid, nil)
 }
 
-func TestRank(t *testing.T) {
+// Guards against a route's priority that outweighs that of the organisation.
+func TestOrganisationPriorityGoesBeforeThatOfRoute(t *testing.T) {
 	is := is.New(t)
-	c := parse(t, config)
-	urgent, late := c.Match("a.example", "/x/"), c.Match("a.example", "/x/y/")
-	is.Equal(c.RequestPriority(c.Organisation("u"), urgent), 0)
-	is.Equal(c.RequestPriority(c.Organisation("u"), late), 2)
-	is.Equal(c.RequestPriority(c.Organisation("t"), urgent), 3) // the organisation's goes first
-	is.Equal(c.RequestPriority(nil, late), 2)
+	c := parse(t, testConfig)
+	urgentRoute, otherRoute := c.Match("a.example", "/x/"), c.Match("a.example", "/x/y/")
+	is.Equal(c.RequestPriority(c.Organisation("u"), urgentRoute), 0)
+	is.Equal(c.RequestPriority(c.Organisation("u"), otherRoute), 2)
+	is.Equal(c.RequestPriority(c.Organisation("t"), urgentRoute), 3) // the organisation's priority comes first
+	is.Equal(c.RequestPriority(nil, otherRoute), 2)
 }
 
-func TestPickFollowsWeights(t *testing.T) {
+func TestServicesArePickedByWeight(t *testing.T) {
 	is := is.New(t)
 	r := Route{Split: []Weight{{"a", 90}, {"b", 10}, {"c", 0}}}
 	counts := map[string]int{}
@@ -83,7 +85,7 @@
 	is.Equal(plain.PickService(0.5), "d")
 }
 
-func TestBadConfigurations(t *testing.T) {
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON":    `{`,
 		"no version": `{"routes":[]}`,
@@ -96,7 +98,7 @@
 	}
 }
 
-func TestRepeatable(t *testing.T) {
+func TestSafeAndResumableRoutesAreRepeatable(t *testing.T) {
 	is := is.New(t)
 	is.True((&Route{Kind: Safe}).Repeatable())
 	is.True(!(&Route{Kind: Unsafe}).Repeatable())
--- a/router/routing/evacuation.go
+++ b/router/routing/evacuation.go
@@ -1,8 +1,8 @@
 package routing
 
-// Evacuation is the operator's order that the targets of a failure domain get nothing new,
-// until it is taken back. What they have begun they end.
+// Evacuation is an operator's order that the targets of a failure domain get no new requests until it is
+// withdrawn. Requests in flight are completed.
 type Evacuation struct {
 	Domain  string
-	InForce bool // false: it was taken back
+	InForce bool // false if it was withdrawn
 }
--- a/router/routing/regions.go
+++ b/router/routing/regions.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Regions are the regions in which a request may be served and anything of it kept. nil means
-// all of them; an empty list means none.
+// Regions are the regions in which a request may be served and its data kept. nil means all regions; an empty list
+// means none.
 type Regions []string
 
-// Contains says whether a region is among them. A region that is not known, "", is only among all.
+// Contains reports whether the region is among them. An unknown region, "", is contained only in nil.
 func (r Regions) Contains(region string) bool {
 	return r == nil || region != "" && slices.Contains(r, region)
 }
 
-// Empty says that the request may be served nowhere.
+// Empty reports whether no region may serve the request.
 func (r Regions) Empty() bool { return r != nil && len(r) == 0 }
 
-// Intersect gives the regions that both have.
+// Intersect returns the regions that are in both.
 func (r Regions) Intersect(o Regions) Regions {
 	switch {
 	case r == nil:
@@ -41,26 +41,26 @@
 	return strings.Join(r, ",")
 }
 
-// given turns a list of a configuration into regions: a list without entries is none given.
-func given(list []string) Regions {
+// allowedRegions converts a configured list of regions, in which an empty list means no restriction.
+func allowedRegions(list []string) Regions {
 	if len(list) == 0 {
 		return nil
 	}
 	return list
 }
 
-// Regions is where a request of a route and an organisation may be served; nil for either is none
-// that names regions.
+// Regions returns the regions that may serve a request of the route and the organisation. Either may be nil and
+// restricts nothing then.
 func (c *Config) Regions(route *Route, organisation *Organisation) Regions {
 	if !c.restricted {
 		return nil
 	}
 	var regions Regions
 	if route != nil {
-		regions = given(route.AllowedRegions)
+		regions = allowedRegions(route.AllowedRegions)
 	}
 	if organisation != nil {
-		regions = regions.Intersect(given(organisation.AllowedRegions))
+		regions = regions.Intersect(allowedRegions(organisation.AllowedRegions))
 	}
 	return regions
 }
