--- a/router/overload/overload.go
+++ b/router/overload/overload.go
@@ -1,7 +1,6 @@
-// Package overload tells whether this host's own link or processor holds its requests
-// up. It judges by how long new connections to targets take: they are made in a
-// millisecond or two where nothing is queued. A full link holds all of them up; where
-// some targets are still reached at once, the others are slow or gone, and not the host.
+// Package overload detects that this host's own network link or CPU delays its requests. It judges by how long
+// new connections to targets take, which is a millisecond or two where nothing is queued. A full link delays all
+// connections; if some targets are still reached fast, the others are slow or gone and the host is fine.
 package overload
 
 import (
@@ -13,27 +12,26 @@
 	log "github.com/sirupsen/logrus"
 )
 
-// Figures of the judgement.
+// Parameters of overload detection.
 const (
-	// span is how far back connections count: long enough for some of them on a busy
-	// host, short beside the second between two looks at a host's readiness.
-	span = time.Second
-	// leastTargets is how many targets have to be dialled to tell of the host. Each counts
-	// once, by its newest connection, so that one that is gone does not count for many.
-	leastTargets = 5
-	// fastPart is the part of the targets that are reached fastest, by the slowest of which
-	// the host is judged: up to three quarters of the targets may be dark.
-	fastPart = 0.25
-	// usual is the time of that connection above which a host turns requests away. Half a
-	// second of queue is too much; a request crosses the queue about four times.
-	usual = 100 * time.Millisecond
-	// rest is how long a host stays out after it was overloaded: callers are balanced
-	// anew within two looks, a second apart, and not sent back at once.
-	rest = 3 * time.Second
-	// RebalanceTime is the time until callers' new connections go to other hosts: two looks at
-	// this host's readiness. Callers who come back before it come to the same full host:
-	// told to come back after 50 ms in place of this, they were refused twice, which cost
-	// 0.01 of a day's worth where one organisation sends 2.5 to 7.5 times its usual.
+	// window is how long connection attempts count: long enough for several on a busy host, and short
+	// compared to the second between two readiness checks.
+	window = time.Second
+	// minTargets is how many targets must have been dialled to judge the host. Each counts once, by its newest
+	// attempt, so that one that is gone doesn't count several times.
+	minTargets = 5
+	// fastFraction is the fraction of the targets, the fastest ones, whose slowest dial time the host is judged
+	// by: up to three quarters of the targets may be unreachable.
+	fastFraction = 0.25
+	// maxDialTime is the dial time above which a host refuses requests. Half a second of queueing is too much,
+	// and a request passes through the queue about four times.
+	maxDialTime = 100 * time.Millisecond
+	// unreadyTime is how long a host reports itself unready after an overload: callers are rebalanced within two
+	// readiness checks, a second apart, and must not be sent back at once.
+	unreadyTime = 3 * time.Second
+	// RebalanceTime is the time until callers' new connections go to other hosts: two readiness checks. Callers
+	// that retry before then reach the same full host: told to retry after 50 ms instead, they were refused
+	// twice, which cost 0.01 of a day's value where one organisation sends 2.5 to 7.5 times its usual load.
 	RebalanceTime = 2 * time.Second
 )
 
@@ -43,75 +41,74 @@
 	took time.Duration
 }
 
-// Monitor judges one host.
+// Monitor detects the overload of one host. It is safe for concurrent use.
 type Monitor struct {
-	mu    sync.Mutex
-	dials map[string]dial // by target, of the last span
-	until time.Time       // the host is out until then
+	mu           sync.Mutex
+	dials        map[string]dial // by target, within the last window
+	unreadyUntil time.Time       // the host reports itself unready before then
 }
 
-// New makes a monitor of a host at rest.
+// New returns a monitor for a host that is not overloaded.
 func New() *Monitor { return &Monitor{dials: map[string]dial{}} }
 
-// RecordDial takes in an attempt to connect, whether it succeeded or not.
+// RecordDial records an attempt to connect to a target, successful or not.
 func (m *Monitor) RecordDial(target string, took time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dials[target] = dial{at: now, took: took}
-	fast, ok := m.fast(now)
-	if !ok || fast <= usual {
+	fast, ok := m.fastDialTime(now)
+	if !ok || fast <= maxDialTime {
 		return
 	}
-	if !now.Before(m.until) {
+	if !now.Before(m.unreadyUntil) {
 		log.WithFields(log.Fields{"connect": fast.Round(time.Millisecond), "targets": len(m.dials)}).Warn("host is overloaded")
 	}
-	m.until = now.Add(rest)
+	m.unreadyUntil = now.Add(unreadyTime)
 }
 
-// fast is the time in which the fastest targets are reached, by the newest connection to
-// each; ok is false if they are too few to tell. The lock is held.
-func (m *Monitor) fast(now time.Time) (took time.Duration, ok bool) {
+// fastDialTime returns the slowest dial time among the fastest fraction of the targets, by the newest attempt at
+// each; ok is false if too few targets were dialled. The lock is held.
+func (m *Monitor) fastDialTime(now time.Time) (took time.Duration, ok bool) {
 	times := make([]time.Duration, 0, len(m.dials))
 	for target, d := range m.dials {
-		if now.Sub(d.at) > span {
+		if now.Sub(d.at) > window {
 			delete(m.dials, target)
 			continue
 		}
 		times = append(times, d.took)
 	}
-	if len(times) < leastTargets {
+	if len(times) < minTargets {
 		return 0, false
 	}
 	slices.Sort(times)
-	return times[int(fastPart*float64(len(times)))], true
+	return times[int(fastFraction*float64(len(times)))], true
 }
 
-// IsUnready says whether callers had better use other hosts: the host is overloaded, or was
-// a moment ago.
+// IsUnready reports whether callers should use other hosts, because the host is or was recently overloaded.
 func (m *Monitor) IsUnready(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Before(m.until)
+	return now.Before(m.unreadyUntil)
 }
 
-// Overloaded says whether connections take too long just now, so that a failed one tells
-// nothing of its target.
+// Overloaded reports whether connections take too long right now, so that a failed one says nothing about its
+// target.
 func (m *Monitor) Overloaded(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fast, ok := m.fast(now)
-	return ok && fast > usual
+	fast, ok := m.fastDialTime(now)
+	return ok && fast > maxDialTime
 }
 
-// Admit says whether a new request may begin. The longer connections take, the fewer may:
-// as many as would bring their time down to the usual. The square of that share was tried:
-// it refused 0.01 more of a day's requests on such days and served none better.
+// Admit reports whether a new request may begin. The longer connections take, the fewer are admitted: about as many
+// as bring the dial time back to maxDialTime. Admitting the square of that share refused 0.01 more of the
+// requests of a day with such an overload and served none better.
 func (m *Monitor) Admit(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fast, ok := m.fast(now)
-	if !ok || fast <= usual {
+	fast, ok := m.fastDialTime(now)
+	if !ok || fast <= maxDialTime {
 		return true
 	}
-	return rand.Float64() < float64(usual)/float64(fast)
+	return rand.Float64() < float64(maxDialTime)/float64(fast)
 }
--- a/router/overload/overload_test.go
+++ b/router/overload/overload_test.go
@@ -17,21 +17,22 @@
 	m.Run()
 }
 
-// dials notes n connections in turn to some targets.
-func dials(m *Monitor, now time.Time, n, targets int, took time.Duration) {
+// recordDials records n dials of the same duration, spread over the targets.
+func recordDials(m *Monitor, now time.Time, n, targets int, took time.Duration) {
 	for i := range n {
 		m.RecordDial(fmt.Sprint("t", i%targets), took, now)
 	}
 }
 
-func TestSlowConnectionsToManyTargetsMeanTheHost(t *testing.T) {
+// Guards against an overload that goes unnoticed, and against admission that doesn't follow the dial time.
+func TestSlowDialsToManyTargetsMeanHostOverload(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	m := New()
-	dials(m, now, 20, 5, 2*ms)
+	recordDials(m, now, 20, 5, 2*ms)
 	is.True(!m.IsUnready(now))
 	is.True(m.Admit(now))
-	dials(m, now, 60, 5, 300*ms)
+	recordDials(m, now, 60, 5, 300*ms)
 	is.True(m.IsUnready(now))
 	is.True(m.Overloaded(now))
 	admitted := 0
@@ -40,15 +41,15 @@
 			admitted++
 		}
 	}
-	is.True(admitted > 260 && admitted < 410) // 100 ms of 300
+	is.True(admitted > 260 && admitted < 410) // a third: 100 ms of 300 ms
 }
 
-// One target that is gone is not the host's matter.
-func TestOneSlowTargetIsNotTheHost(t *testing.T) {
+// Guards against a host that becomes unready because one target is gone, which is dialled often.
+func TestOneSlowTargetIsNoHostOverload(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	m := New()
-	dials(m, now, 30, 1, 300*ms)
+	recordDials(m, now, 30, 1, 300*ms)
 	is.True(!m.IsUnready(now))
 	for i := 1; i < 8; i++ {
 		m.RecordDial(fmt.Sprint("t", i), 2*ms, now)
@@ -57,8 +58,9 @@
 	is.True(!m.Overloaded(now))
 }
 
-// Where some targets are reached at once the host's link is not full: the others are dark.
-func TestDarkTargetsAreNotTheHost(t *testing.T) {
+// Guards against a host that becomes unready because most targets are unreachable, though some are reached
+// fast, so its link isn't full.
+func TestUnreachableTargetsAreNoHostOverload(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	m := New()
@@ -73,16 +75,17 @@
 	is.True(m.Admit(now))
 }
 
-// A host that recovers takes requests at once, and calls itself ready a moment later.
-func TestRecovers(t *testing.T) {
+// Guards against a recovered host that goes on refusing requests, or that reports itself ready at once and gets
+// all callers back.
+func TestRecoveredHostAdmitsBeforeItIsReady(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	m := New()
-	dials(m, now, 20, 5, 300*ms)
-	now = now.Add(span + ms)
+	recordDials(m, now, 20, 5, 300*ms)
+	now = now.Add(window + ms)
 	is.True(m.Admit(now))
 	is.True(!m.Overloaded(now))
 	is.True(m.IsUnready(now))
-	now = now.Add(rest)
+	now = now.Add(unreadyTime)
 	is.True(!m.IsUnready(now))
 }
