--- a/router/fleet/alllost_test.go
+++ b/router/fleet/alllost_test.go
@@ -13,13 +13,13 @@
 	"maststage.dev/router/replica"
 )
 
-// beat is the announcement of a host of some incarnation, its n-th.
-func beat(i int, incarnation string, n int64) Host {
+// announcement returns the n-th announcement of an incarnation of host i.
+func announcement(i int, incarnation string, n int64) Host {
 	return Host{Name: fmt.Sprintf("h%d", i), Incarnation: incarnation, Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: "z0", Sequence: n}
 }
 
-// heard tells a fleet of announcements, of which the last has an offset in the topic.
-func heard(f *Fleet, end int64, hosts ...Host) {
+// applyAnnouncements applies announcements to a fleet; the last has offset end in the topic.
+func applyAnnouncements(f *Fleet, end int64, hosts ...Host) {
 	var changes []replica.Change
 	for i, h := range hosts {
 		value, err := json.Marshal(h)
@@ -32,16 +32,16 @@
 	f.HandleChanges(changes)
 }
 
-// A host that starts anew tells the loss of all hosts from its own loss, from the begin of a
+// A restarted host distinguishes the loss of all hosts from its own loss, from the first start of a
 // fleet and from the loss of half of the hosts.
-func TestLossOfAllHostsIsTold(t *testing.T) {
+func TestLossOfAllHostsIsDetected(t *testing.T) {
 	type list = []Host
-	before := list{beat(0, "old", 9), beat(1, "old", 9), beat(2, "old", 8), beat(3, "old", 9), beat(4, "old", 7)}
-	anew := list{beat(0, "new", 1), beat(1, "new", 1), beat(2, "new", 1), beat(3, "new", 1), beat(4, "new", 1)}
-	begun := list{beat(0, "new", 1), beat(1, "old", 2), beat(2, "old", 2), beat(3, "old", 1), beat(4, "old", 2)}
+	before := list{announcement(0, "old", 9), announcement(1, "old", 9), announcement(2, "old", 8), announcement(3, "old", 9), announcement(4, "old", 7)}
+	anew := list{announcement(0, "new", 1), announcement(1, "new", 1), announcement(2, "new", 1), announcement(3, "new", 1), announcement(4, "new", 1)}
+	begun := list{announcement(0, "new", 1), announcement(1, "old", 2), announcement(2, "old", 2), announcement(3, "old", 1), announcement(4, "old", 2)}
 	for name, c := range map[string]struct {
-		found list  // when the topic is read first
-		end   int64 // its newest record then
+		found list  // announcements when the topic is first read
+		end   int64 // offset of the newest of them
 		then  list
 		lost  bool
 	}{
@@ -49,9 +49,9 @@
 		"this host was the last to start": {anew, 75, anew[:1], true},
 		"one has not come back":           {before, 70, anew[:4], true},
 		"the others did not yet":          {before, 70, anew[:1], false},
-		"one lives on":                    {before, 70, append(list{beat(4, "old", 8)}, anew[:4]...), false},
+		"one lives on":                    {before, 70, append(list{announcement(4, "old", 8)}, anew[:4]...), false},
 		"half were lost":                  {before, 70, anew[:3], false},
-		"this host alone was lost":        {before, 70, list{beat(0, "new", 1), beat(1, "old", 10)}, false},
+		"this host alone was lost":        {before, 70, list{announcement(0, "new", 1), announcement(1, "old", 10)}, false},
 		"a new fleet":                     {nil, 0, anew, false},
 		"the last of a new fleet":         {anew, 4, anew[:1], false},
 		"lost alone in a new fleet":       {begun, 9, begun[:1], false},
@@ -59,26 +59,27 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := New(Options{Self: beat(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
-				heard(f, c.end, c.found...)
+				f := New(Options{Self: announcement(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
+				applyAnnouncements(f, c.end, c.found...)
 				time.Sleep(time.Second)
-				heard(f, c.end+10, c.then...)
+				applyAnnouncements(f, c.end+10, c.then...)
 				is.Equal(f.AllHostsLost(), c.lost)
 			})
 		})
 	}
 }
 
-// Once told, the loss stays told as the hosts go on; and a new fleet that goes on was not lost.
-func TestLossOfAllHostsStaysTold(t *testing.T) {
+// A detected loss of all hosts stays detected as the hosts go on announcing themselves; the hosts of
+// a new fleet never appear lost.
+func TestLossOfAllHostsStaysDetected(t *testing.T) {
 	for end, lost := range map[int64]bool{70: true, 3: false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := New(Options{Self: beat(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
-			heard(f, end, beat(0, "old", 9), beat(1, "old", 9), beat(2, "old", 9))
+			f := New(Options{Self: announcement(0, "new", 0), CallTimeout: time.Second, AnnounceInterval: 8 * time.Second})
+			applyAnnouncements(f, end, announcement(0, "old", 9), announcement(1, "old", 9), announcement(2, "old", 9))
 			for n := range int64(10) {
-				time.Sleep(4 * time.Second) // no host announces itself more often
-				heard(f, end+3*(n+1), beat(1, "new", n+1), beat(2, "new", n+1))
+				time.Sleep(4 * time.Second) // the shortest interval between announcements of a host
+				applyAnnouncements(f, end+3*(n+1), announcement(1, "new", n+1), announcement(2, "new", n+1))
 				is.Equal(f.AllHostsLost(), lost)
 			}
 		})
--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -20,94 +20,94 @@
 
 // Paths of the calls between hosts.
 const (
-	pathPull    = "/fleet/records"
-	pathLend    = "/fleet/lend"
-	pathRecall  = "/fleet/recall"
-	pathGive    = "/fleet/give"
-	pathHistory = "/fleet/history"
+	pathPull     = "/fleet/records"
+	pathLend     = "/fleet/lend"
+	pathRecall   = "/fleet/recall"
+	pathTransfer = "/fleet/give"
+	pathHistory  = "/fleet/history"
 )
 
-// maxCallBytes bounds a call's body.
+// maxCallBytes bounds the body of a request from another host.
 const maxCallBytes = 1 << 20
 
-// pullRequest names the offset of each topic from which the caller lacks records.
+// pullRequest asks for the records of each topic from an offset on.
 type pullRequest struct {
 	From map[string]int64 `json:"from"`
-	// EndsOnly asks how far the other host knows the topics, without their records.
+	// EndsOnly asks for the end offsets of the topics, without records.
 	EndsOnly bool `json:"ends_only,omitempty"`
 }
 
 type pullResponse struct {
-	Topics map[string]topicPart `json:"topics"`
-	// Quarantine lists the requests in quarantine that the topic may not tell of.
+	Topics map[string]topicUpdate `json:"topics"`
+	// Quarantine lists quarantined requests that may be missing from the topic.
 	Quarantine []quarantine.Entry `json:"quarantine,omitempty"`
 }
 
-// topicPart is the changed records of a topic; all below End are known there.
-type topicPart struct {
+// topicUpdate holds the changed records of a topic; the responder knows all records below End.
+type topicUpdate struct {
 	Packed []byte `json:"packed,omitempty"` // the records, by recordpack
 	End    int64  `json:"end"`
-	AgeMs  int64  `json:"age_ms"`          // since the log told of them
-	Whole  bool   `json:"whole,omitempty"` // these are all records that there are
+	AgeMs  int64  `json:"age_ms"`          // since the log last confirmed them
+	Full   bool   `json:"whole,omitempty"` // the records are the whole topic
 }
 
-func newTopicPart(changed replica.Update) (topicPart, error) {
+func newTopicUpdate(changed replica.Update) (topicUpdate, error) {
 	packed, err := recordpack.Pack(changed.Records)
-	return topicPart{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Whole: changed.Full}, err
+	return topicUpdate{Packed: packed, End: changed.End, AgeMs: changed.Age.Milliseconds(), Full: changed.Full}, err
 }
 
-// part turns a part of an answer into that of a copy.
-func (p topicPart) part() (replica.Update, error) {
+// update decodes the response for one topic.
+func (p topicUpdate) update() (replica.Update, error) {
 	records, err := recordpack.Unpack(p.Packed)
-	return replica.Update{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Full: p.Whole}, err
+	return replica.Update{Records: records, End: p.End, Age: time.Duration(p.AgeMs) * time.Millisecond, Full: p.Full}, err
 }
 
 type lendRequest struct {
 	ID           string `json:"id"`
 	Organisation string `json:"organisation"`
-	Tokens       int64  `json:"tokens"` // needed
+	Tokens       int64  `json:"tokens"` // wanted
 	FreeOnly     bool   `json:"free_only,omitempty"`
-	Partly       bool   `json:"partly,omitempty"`
-	// Cost is that of the request (prepaid.Request); absent: not known.
+	AllowPartial bool   `json:"partly,omitempty"`
+	// Cost is the cost of the request (prepaid.Request); absent if unknown.
 	Cost float64 `json:"cost,omitempty"`
 }
 
 type lendResponse struct {
 	Tokens int64 `json:"tokens"`
-	Keeper bool  `json:"keeper"`         // the lender takes slices of the budget from the log
-	Free   int64 `json:"free"`           // what it could still lend
-	Kept   bool  `json:"kept,omitempty"` // it keeps the last tokens for smaller requests
+	Keeper bool  `json:"keeper"`         // the lender takes tokens of the budget from the log
+	Free   int64 `json:"free"`           // tokens that it could still lend
+	Shed   bool  `json:"kept,omitempty"` // the request is shed: the last tokens are reserved for smaller ones
 }
 
-// recallRequest names loans that their borrower got no answer to and never uses.
+// recallRequest lists loans whose responses the borrower did not get; it never uses them.
 type recallRequest struct {
 	Loans []string `json:"loans"`
 }
 
 type recallResponse struct {
-	Tokens int64 `json:"tokens"` // credited again
+	Tokens int64 `json:"tokens"` // credited back to the lender
 }
 
-type giveRequest struct {
+type transferRequest struct {
 	ID           string `json:"id"`
-	Incarnation  string `json:"incarnation"` // of the host that is to take them; no other does
+	Incarnation  string `json:"incarnation"` // of the receiver; another incarnation refuses the transfer
 	Organisation string `json:"organisation"`
 	Tokens       int64  `json:"tokens"`
 }
 
-type giveResponse struct {
-	Took        bool   `json:"took"`
-	Incarnation string `json:"incarnation"` // of the host that answers
+type transferResponse struct {
+	Accepted    bool   `json:"took"`
+	Incarnation string `json:"incarnation"` // of the responding host
 }
 
-// notSent says whether a failed call surely did not reach the other host.
+// notSent reports whether a failed call certainly did not reach the other host.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// statusError is another host's answer that it can't serve a call: one of an earlier build does not
-// know all of them.
+// statusError means that another host responded but cannot serve the call: an earlier build
+// does not know all calls.
 type statusError struct{ address, path, status string }
 
 func (e *statusError) Error() string { return e.address + e.path + ": " + e.status }
@@ -115,7 +115,7 @@
 // client calls other hosts.
 type client struct {
 	http    *http.Client
-	timeout time.Duration // of a small call
+	timeout time.Duration // of a call with a short response
 }
 
 func newClient(timeout time.Duration) *client {
@@ -130,20 +130,20 @@
 	}
 }
 
-// longestFetch bounds a fetch whose bytes keep coming. Another host may have them faster.
-const longestFetch = 10 * time.Second
+// maxFetchTime bounds a fetch that keeps making progress; another host may be faster.
+const maxFetchTime = 10 * time.Second
 
-// do makes a small call; it ends after the client's timeout.
-func (c *client) do(ctx context.Context, address, path string, ask, answer any) error {
+// callWithTimeout makes a call that ends after the client's timeout.
+func (c *client) callWithTimeout(ctx context.Context, address, path string, ask, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return c.call(ctx, address, path, ask, answer)
 }
 
-// fetch makes a call that is worth waiting for, or whose answer may be large; it ends when
-// the other host is silent for pullTimeout.
+// fetch makes a call that is worth waiting for or whose response may be large. It ends when the
+// other host sends nothing for pullTimeout.
 func (c *client) fetch(ctx context.Context, address, path string, ask, answer any) error {
-	ctx, cancel := patience.New(ctx, patience.Limits{First: pullTimeout, Silence: pullTimeout, Most: longestFetch})
+	ctx, cancel := patience.New(ctx, patience.Limits{First: pullTimeout, Silence: pullTimeout, Most: maxFetchTime})
 	defer cancel()
 	return c.call(ctx, address, path, ask, answer)
 }
@@ -168,16 +168,16 @@
 	return json.NewDecoder(patience.Reader(ctx, resp.Body)).Decode(answer)
 }
 
-// Handler serves the calls of other hosts.
+// Handler serves the calls from other hosts.
 func (f *Fleet) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathPull, f.servePull)
 	mux.HandleFunc("POST "+pathLend, f.serveLend)
 	mux.HandleFunc("POST "+pathRecall, f.serveRecall)
-	mux.HandleFunc("POST "+pathGive, f.serveGive)
+	mux.HandleFunc("POST "+pathTransfer, f.serveTransfer)
 	mux.HandleFunc("POST "+pathHistory, f.serveHistory)
 	mux.HandleFunc("POST "+pathRollout, f.serveRollout)
-	mux.HandleFunc("POST "+pathEnds, f.serveEnds)
+	mux.HandleFunc("POST "+pathExits, f.serveExits)
 	mux.HandleFunc("POST "+pathCleared, f.serveCleared)
 	mux.HandleFunc("POST "+pathQuarantine, f.serveQuarantine)
 	return mux
@@ -185,10 +185,10 @@
 
 func (f *Fleet) servePull(w http.ResponseWriter, r *http.Request) {
 	var ask pullRequest
-	if !read(w, r, &ask) {
+	if !readJSON(w, r, &ask) {
 		return
 	}
-	answer := pullResponse{Topics: map[string]topicPart{}}
+	answer := pullResponse{Topics: map[string]topicUpdate{}}
 	if ask.EndsOnly && f.opts.Quarantine != nil {
 		answer.Quarantine = f.opts.Quarantine.Unpersisted()
 	}
@@ -198,53 +198,53 @@
 			continue
 		}
 		if ask.EndsOnly {
-			answer.Topics[topic] = topicPart{End: c.End()}
+			answer.Topics[topic] = topicUpdate{End: c.End()}
 			continue
 		}
-		part, err := newTopicPart(c.CatchUpFrom(from))
+		part, err := newTopicUpdate(c.CatchUpFrom(from))
 		if err != nil {
-			log.WithField("topic", topic).WithError(err).Error("records can't be packed for another host")
+			log.WithField("topic", topic).WithError(err).Error("cannot encode records for another host")
 			continue
 		}
 		answer.Topics[topic] = part
 	}
-	write(w, answer)
+	writeJSON(w, answer)
 }
 
 func (f *Fleet) serveLend(w http.ResponseWriter, r *http.Request) {
 	var ask lendRequest
-	if !read(w, r, &ask) {
+	if !readJSON(w, r, &ask) {
 		return
 	}
-	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, AllowPartial: ask.Partly})
-	write(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Authoritative, Free: loan.Free, Kept: loan.Shed})
+	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, AllowPartial: ask.AllowPartial})
+	writeJSON(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Authoritative, Free: loan.Free, Shed: loan.Shed})
 }
 
 func (f *Fleet) serveRecall(w http.ResponseWriter, r *http.Request) {
 	var ask recallRequest
-	if !read(w, r, &ask) {
+	if !readJSON(w, r, &ask) {
 		return
 	}
 	var answer recallResponse
 	for _, id := range ask.Loans {
 		answer.Tokens += f.opts.Recall(id)
 	}
-	write(w, answer)
+	writeJSON(w, answer)
 }
 
-func (f *Fleet) serveGive(w http.ResponseWriter, r *http.Request) {
-	var ask giveRequest
-	if !read(w, r, &ask) {
+func (f *Fleet) serveTransfer(w http.ResponseWriter, r *http.Request) {
+	var ask transferRequest
+	if !readJSON(w, r, &ask) {
 		return
 	}
 	self := f.opts.Self.Incarnation
-	// An earlier incarnation may have taken and spent the same gift.
+	// An earlier incarnation may have accepted and spent the same transfer.
 	took := ask.Incarnation == self && f.opts.Credit(prepaid.Transfer{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens})
-	log.WithFields(log.Fields{"gift": ask.ID, "organisation": ask.Organisation, "tokens": ask.Tokens, "took": took}).Info("tokens given by another host")
-	write(w, giveResponse{Took: took, Incarnation: self})
+	log.WithFields(log.Fields{"gift": ask.ID, "organisation": ask.Organisation, "tokens": ask.Tokens, "took": took}).Info("transfer of tokens from another host handled")
+	writeJSON(w, transferResponse{Accepted: took, Incarnation: self})
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCallBytes)).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -252,13 +252,13 @@
 	return true
 }
 
-func write(w http.ResponseWriter, answer any) {
+func writeJSON(w http.ResponseWriter, answer any) {
 	data, err := json.Marshal(answer)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The caller is gone if this fails, and asks again.
+	// If this fails the caller is gone, and it retries.
 	_, _ = w.Write(data)
 }
--- a/router/fleet/elect_test.go
+++ b/router/fleet/elect_test.go
@@ -13,15 +13,15 @@
 	"maststage.dev/router/replica"
 )
 
-// writeOnly is a log that takes announcements and tells nothing.
+// writeOnly is a log that accepts announcements and returns no records.
 type writeOnly struct{ eventlog.Log }
 
 func (writeOnly) Append(context.Context, eventlog.Partition, []eventlog.Record) (int64, error) {
 	return 0, nil
 }
 
-// Guards against a host that reads nothing of the log, forgets all others after a while, and then takes
-// the whole of what they share, while they still count it as one of them.
+// Guards against a host that can't read the log, drops all others after a while, and then takes all
+// of what they share, while they still count it as one of them.
 func TestHostThatReadsNothingTakesNoDuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet knows the other hosts. Each host announces itself in a keyed
-// topic of the shared log; beside that, hosts pull from each other what they may
-// have missed of the log while they could not reach it, and lend each other tokens.
+// Package fleet keeps track of the other hosts and carries the calls between them. Each
+// host announces itself in a keyed topic of the shared log. Hosts also pull from each other
+// log records that they may have missed while the log was unreachable, and lend each other tokens.
 package fleet
 
 import (
@@ -25,9 +25,9 @@
 type Host struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"incarnation"`
-	Address     string `json:"address"` // for other hosts, IP:port
+	Address     string `json:"address"` // where other hosts reach it, IP:port
 	Domain      string `json:"domain"`  // failure domain
-	Sequence    int64  `json:"beat"`    // counts the announcements of an incarnation
+	Sequence    int64  `json:"beat"`    // number of this announcement within the incarnation
 }
 
 // Options configure a Fleet.
@@ -37,24 +37,22 @@
 	Topic            string
 	Seeds            []string
 	AnnounceInterval time.Duration // between announcements
-	PullInterval     time.Duration // between looks at whether to pull
+	PullInterval     time.Duration // between checks whether a pull is needed
 	CallTimeout      time.Duration // of a call to another host
-	// Replicas are the copies of the log's topics that hosts pull from each other,
-	// by topic.
+	// Replicas holds the replicas of the log's topics that hosts pull from each other, by topic.
 	Replicas map[string]*replica.Replica
 	Lend     func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan
-	// Recall takes back a loan whose borrower got no answer.
+	// Recall takes back a loan whose response did not reach the borrower.
 	Recall func(id string) (tokens int64)
-	// Credit takes in tokens that another host gives, once for each gift.
+	// Credit adds tokens transferred by another host, once for each transfer.
 	Credit func(gift prepaid.Transfer) bool
-	// History is what this host saw of the limits of budgets.
+	// History returns the changes of budget limits that this host has seen.
 	History func() prepaid.LimitHistory
-	// Quarantine takes part in finding requests that crash targets. nil: this host does not.
+	// Quarantine detects requests that crash targets. nil: this host does not take part.
 	Quarantine Quarantine
-	// Rollouts conducts rollouts for other hosts. nil: this host does not.
+	// Rollouts conducts rollouts for other hosts. nil: this host conducts none.
 	Rollouts Rollouts
-	// OnPull counts the calls for what this host missed by their outcome, PullOK or
-	// PullFailed. nil: they are not counted.
+	// OnPull counts pulls by their outcome, PullOK or PullFailed. nil: they are not counted.
 	OnPull func(outcome string)
 }
 
@@ -64,67 +62,67 @@
 	PullFailed = "failed"
 )
 
-// known is what this host knows of another.
-type known struct {
-	host  Host
-	seen  time.Time // when its announcement last changed
-	young bool      // it had begun with this host or later when this one first heard of it
-	told  bool      // it announced itself again since then
+// peerState is what this host knows of another host.
+type peerState struct {
+	host        Host
+	lastSeen    time.Time // when its announcement last changed
+	restarted   bool      // at its first announcement seen here, it had not started before this host
+	reannounced bool      // the same incarnation announced itself again since then
 }
 
-// Fleet is this host's view of the hosts.
+// Fleet is this host's view of all hosts.
 type Fleet struct {
-	opts    Options
-	calls   *client
-	recalls *recaller
-	gifts   atomic.Int64 // counts the gifts of this incarnation
-	started time.Time
+	opts          Options
+	client        *client
+	recalls       *recaller
+	transferSeq   atomic.Int64 // transfers offered in this incarnation
+	settlingSince time.Time
 
-	mu     sync.Mutex
-	seeds  []string
-	hosts  map[string]known
-	silent map[string]time.Time // addresses that did not answer, and when
-	parts  map[string]float64   // of all prepaid tokens, by organisation
+	mu           sync.Mutex
+	seeds        []string
+	hosts        map[string]peerState
+	silentSince  map[string]time.Time // when an address last failed to answer
+	budgetShares map[string]float64   // of all prepaid tokens, 0 to 1, by organisation
 
-	announced   time.Time     // when the log last took this host's announcement
-	changed     time.Time     // when this host last read announcements
-	announceNow chan struct{} // it is to be announced at once
-	pulled      time.Time     // when the newest pull was asked that was answered
+	lastAnnounced time.Time     // start of the last successful announcement of this host
+	lastRead      time.Time     // when announcements were last read
+	announceNow   chan struct{} // requests an immediate announcement
+	lastPull      time.Time     // start of the newest successful pull
 
-	othersThen []string // names of the other hosts, as of othersAt
-	othersAt   time.Time
+	cachedPeers   []string // names of the active peers, as of cachedPeersAt
+	cachedPeersAt time.Time
 
-	born     time.Time // when this host started
-	read     bool      // the topic was read
-	before   int64     // records of the topic when it was read first
-	lostThen bool      // all hosts were lost, as of lostAt
-	lostAt   time.Time
+	createdAt    time.Time // when this host started
+	topicRead    bool      // the topic of announcements has been read
+	initialEnd   int64     // end offset of the topic when it was first read
+	cachedLost   bool      // result of AllHostsLost, as of cachedLostAt
+	cachedLostAt time.Time
 }
 
-// forgetAfter is how long a host counts without a new announcement. It is long:
-// hosts that are cut off still take their share.
-const forgetAfter = 45 * time.Second
+// peerExpiry is how long a host counts as active after its last announcement. It is long
+// because hosts that are cut off from the log still use their share.
+const peerExpiry = 45 * time.Second
 
-// New makes a fleet of this host alone; Run fills it.
+// New returns a fleet that knows this host alone; HandleChanges adds the others.
 func New(opts Options) *Fleet {
 	calls := newClient(opts.CallTimeout)
 	return &Fleet{
-		opts: opts, calls: calls, recalls: newRecaller(calls, opts.Self.Name+"/"+opts.Self.Incarnation),
-		started: time.Now(), announced: time.Now(), changed: time.Now(), born: time.Now(), seeds: opts.Seeds, hosts: map[string]known{}, silent: map[string]time.Time{},
+		opts: opts, client: calls, recalls: newRecaller(calls, opts.Self.Name+"/"+opts.Self.Incarnation),
+		settlingSince: time.Now(), lastAnnounced: time.Now(), lastRead: time.Now(), createdAt: time.Now(), seeds: opts.Seeds, hosts: map[string]peerState{}, silentSince: map[string]time.Time{},
 		announceNow: make(chan struct{}, 1),
 	}
 }
 
-// HandleChanges takes in announcements from the log's copy.
+// HandleChanges applies announcements from the replica of the topic.
 func (f *Fleet) HandleChanges(changes []replica.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.othersAt, f.changed = time.Time{}, time.Now()
-	f.noteFirst(changes)
+	f.cachedPeersAt, f.lastRead = time.Time{}, time.Now()
+	f.noteInitialEnd(changes)
 	for _, c := range changes {
 		name := c.Record.Key
 		if strings.HasPrefix(name, quarantine.KeyPrefix) || strings.HasPrefix(name, limit.KeyPrefix) {
-			continue // the topic keeps other things that hosts tell each other, too
+			continue // hosts publish other records in this topic, too
 		}
 		if len(c.Record.Value) == 0 {
 			if _, had := f.hosts[name]; had {
@@ -135,11 +133,11 @@
 		}
 		var h Host
 		if err := json.Unmarshal(c.Record.Value, &h); err != nil {
-			log.WithField("peer", name).WithError(err).Error("announcement can't be read")
+			log.WithField("peer", name).WithError(err).Error("host announcement is not valid JSON")
 			continue
 		}
 		if h.Name != name {
-			log.WithField("peer", name).Error("announcement of another name is ignored")
+			log.WithField("peer", name).Error("ignored a host announcement whose name differs from its key")
 			continue
 		}
 		old, had := f.hosts[name]
@@ -147,20 +145,20 @@
 		if !again {
 			log.WithFields(log.Fields{"peer": name, "incarnation": h.Incarnation, "address": h.Address}).Info("host joined")
 		}
-		f.hosts[name] = known{host: h, seen: time.Now(), young: again && old.young || !again && h.Sequence <= f.mostBeats(time.Now()), told: again}
+		f.hosts[name] = peerState{host: h, lastSeen: time.Now(), restarted: again && old.restarted || !again && h.Sequence <= f.maxSequence(time.Now()), reannounced: again}
 	}
 }
 
-// Size counts the hosts that may take a share of what hosts share, this one
-// included. It is at least 1.
+// Size counts the active hosts, which divide shared limits among them. It includes this host,
+// so it is at least 1.
 func (f *Fleet) Size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, total := f.domains()
+	_, total := f.domainSizes()
 	return total
 }
 
-// SetSeeds changes the addresses that are known beside the announcements.
+// SetSeeds replaces the configured addresses of other hosts.
 func (f *Fleet) SetSeeds(seeds []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,32 +176,33 @@
 
 func (f *Fleet) partition() eventlog.Partition { return eventlog.Partition{Topic: f.opts.Topic} }
 
-// announce writes this host's record at once and then now and again.
+// announce writes this host's announcement now and then at random intervals, until ctx ends.
 func (f *Fleet) announce(ctx context.Context) {
 	self := f.opts.Self
 	for ctx.Err() == nil {
 		self.Sequence++
-		pause := f.announcePause()
-		if err := f.write(ctx, self); err != nil {
-			pause = min(pause, announceRetry)
+		pause := f.announceInterval()
+		if err := f.writeAnnouncement(ctx, self); err != nil {
+			pause = min(pause, announceRetryDelay)
 		}
-		f.untilAnnounce(ctx, pause/2+rand.N(pause))
+		f.waitForAnnounce(ctx, pause/2+rand.N(pause))
 	}
 }
 
-// Figures of announcements in a large fleet.
+// Bounds on announcements in a large fleet.
 const (
-	announceForHost = 16 * time.Millisecond // so that all hosts announce themselves some 60 times a second
-	mostAnnounce    = 20 * time.Second      // half as much again is well below forgetAfter
+	announcePerHost     = 16 * time.Millisecond // per host of the fleet, for some 60 announcements a second in all
+	maxAnnounceInterval = 20 * time.Second      // half as much again is well below peerExpiry
 )
 
-// announcePause is the time between two announcements. Each is read by all hosts.
-func (f *Fleet) announcePause() time.Duration {
-	return max(f.opts.AnnounceInterval, min(time.Duration(f.Size())*announceForHost, mostAnnounce))
+// announceInterval is the mean time between two announcements. It grows with the fleet since
+// all hosts read each announcement.
+func (f *Fleet) announceInterval() time.Duration {
+	return max(f.opts.AnnounceInterval, min(time.Duration(f.Size())*announcePerHost, maxAnnounceInterval))
 }
 
-// untilAnnounce waits for the next announcement.
-func (f *Fleet) untilAnnounce(ctx context.Context, pause time.Duration) {
+// waitForAnnounce waits until the next announcement is due or requested.
+func (f *Fleet) waitForAnnounce(ctx context.Context, pause time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
 	select {
@@ -212,9 +211,9 @@
 	}
 }
 
-const announceRetry = 500 * time.Millisecond
+const announceRetryDelay = 500 * time.Millisecond
 
-func (f *Fleet) write(ctx context.Context, self Host) error {
+func (f *Fleet) writeAnnouncement(ctx context.Context, self Host) error {
 	value, err := json.Marshal(self)
 	if err != nil {
 		return err
@@ -227,12 +226,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.announced = began
+	f.lastAnnounced = began
 	return nil
 }
 
-// addresses lists the other hosts' addresses in random order, those of the
-// settings included, since they are all that a host knows at its start.
+// addresses lists the other hosts' addresses in random order. It includes the configured
+// seeds, which are all that a host knows at its start.
 func (f *Fleet) addresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,7 +252,7 @@
 	return shuffled(list)
 }
 
-// Leave takes this host's announcement back.
+// Leave deletes this host's announcement.
 func (f *Fleet) Leave(ctx context.Context) error {
 	_, err := f.opts.Log.Append(ctx, f.partition(), []eventlog.Record{{Key: f.opts.Self.Name}})
 	return err
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -33,8 +33,8 @@
 	return New(Options{Self: self, CallTimeout: time.Second})
 }
 
-// announced tells a fleet of hosts.
-func announced(f *Fleet, hosts ...Host) {
+// announceHosts applies announcements of hosts to a fleet.
+func announceHosts(f *Fleet, hosts ...Host) {
 	var changes []replica.Change
 	for _, h := range hosts {
 		value, err := json.Marshal(h)
@@ -46,8 +46,8 @@
 	f.HandleChanges(changes)
 }
 
-// hosts makes n hosts in some failure domains.
-func hosts(n, domains int) []Host {
+// makeHosts returns n hosts, spread over failure domains.
+func makeHosts(n, domains int) []Host {
 	var list []Host
 	for i := range n {
 		list = append(list, Host{Name: fmt.Sprintf("h%d", i), Domain: fmt.Sprintf("z%d", i%domains), Address: fmt.Sprintf("10.0.0.%d:1", i)})
@@ -55,24 +55,24 @@
 	return list
 }
 
-func TestSize(t *testing.T) {
+func TestSizeFollowsAnnouncements(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Host{Name: "h0", Domain: "z0"})
 	is.Equal(f.Size(), 1)
-	announced(f, hosts(6, 3)...)
-	is.Equal(f.Size(), 6) // itself once
+	announceHosts(f, makeHosts(6, 3)...)
+	is.Equal(f.Size(), 6) // this host is counted once
 	f.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: "h1"}}})
 	is.Equal(f.Size(), 5)
 	f.HandleChanges([]replica.Change{{Record: eventlog.Record{Key: "h2", Value: []byte("not JSON")}}})
 	is.Equal(f.Size(), 5)
 }
 
-func TestSmallFleetHasNoKeepers(t *testing.T) {
+func TestEveryHostOfASmallFleetIsAKeeper(t *testing.T) {
 	is := is.New(t)
-	all := hosts(keeper.SmallFleet, 3)
+	all := makeHosts(keeper.SmallFleet, 3)
 	for _, self := range all {
 		f := newFleet(self)
-		announced(f, all...)
+		announceHosts(f, all...)
 		count, own := f.Keepers("org")
 		is.Equal(count, keeper.SmallFleet)
 		is.True(own)
@@ -80,17 +80,17 @@
 	}
 }
 
-// In a large fleet all hosts agree on the keepers, the more the larger the organisation's
-// part of all tokens is, and each that is none finds all of them first.
-func TestKeepersOfALargeFleet(t *testing.T) {
+// All hosts of a large fleet agree on the keepers, whose number grows with the organisation's share
+// of all tokens. Each host that is no keeper asks all of them before any other host.
+func TestHostsOfALargeFleetAgreeOnKeepers(t *testing.T) {
 	is := is.New(t)
-	all := hosts(87, 3)
+	all := makeHosts(87, 3)
 	for part, wanted := range map[float64]int{0: 1, 0.01: 1, 0.3: 3, 1: 8} {
 		keepers := map[string]bool{}
 		asked := map[string]bool{}
 		for _, self := range all {
 			f := newFleet(self)
-			announced(f, all...)
+			announceHosts(f, all...)
 			f.SetBudgetShares(map[string]float64{"org": part})
 			count, own := f.Keepers("org")
 			is.Equal(count, wanted)
@@ -110,27 +110,27 @@
 func TestSilentKeeperIsAskedLast(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Host{Name: "other", Domain: "z0"})
-	announced(f, hosts(40, 1)...)
+	announceHosts(f, makeHosts(40, 1)...)
 	list := f.lenders("org")
-	f.noteSilent(list[0], io.EOF)
+	f.recordCallResult(list[0], io.EOF)
 	is.Equal(f.lenders("org")[len(list)-1], list[0])
-	f.noteSilent(list[0], nil)
+	f.recordCallResult(list[0], nil)
 	is.Equal(f.lenders("org")[0], list[0])
 }
 
-// In a large fleet a few hosts of each failure domain read a topic, and the others know
-// them; in a small one all read.
-func TestReadersOfALargeFleet(t *testing.T) {
+// In a large fleet a few hosts of each failure domain read a topic, and the others relay from
+// exactly those; in a small one all read it.
+func TestFewHostsOfALargeFleetReadATopic(t *testing.T) {
 	is := is.New(t)
 	small := newFleet(Host{Name: "h0", Domain: "z0"})
-	announced(small, hosts(keeper.SmallFleet, 3)...)
+	announceHosts(small, makeHosts(keeper.SmallFleet, 3)...)
 	is.Equal(len(small.readers("list")), 0)
-	all := hosts(87, 3)
+	all := makeHosts(87, 3)
 	readers := map[string]bool{}
 	asked := map[string]bool{}
 	for _, self := range all {
 		f := newFleet(self)
-		announced(f, all...)
+		announceHosts(f, all...)
 		list := f.readers("list")
 		if len(list) == 0 {
 			readers[self.Address] = true
@@ -143,21 +143,21 @@
 	is.Equal(asked, readers)
 }
 
-// What all hosts write to the log together does not grow as the fleet does.
-func TestAnnouncementsOfALargeFleet(t *testing.T) {
+// The total rate of announcements in the log does not grow with the fleet.
+func TestAnnouncementRateIsBoundedInALargeFleet(t *testing.T) {
 	is := is.New(t)
 	pause := func(n int) time.Duration {
 		f := New(Options{Self: Host{Name: "h0", Domain: "z0"}, AnnounceInterval: 8 * time.Second})
-		announced(f, hosts(n, 5)...)
-		return f.announcePause()
+		announceHosts(f, makeHosts(n, 5)...)
+		return f.announceInterval()
 	}
 	is.Equal(pause(90), 8*time.Second)
 	is.Equal(pause(1000), 16*time.Second)
-	is.True(pause(2000)*3/2 < forgetAfter)
+	is.True(pause(2000)*3/2 < peerExpiry)
 }
 
-// A reader's answer counts if it is fresh.
-func TestRelayAsksForFreshAnswers(t *testing.T) {
+// Relay uses a reader's response only if it is fresh.
+func TestRelayIgnoresStaleResponses(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(eventlog.Partition{Topic: "list"}, "k", []byte("1"))
@@ -166,12 +166,12 @@
 	server := httptest.NewServer(reader.Handler())
 	t.Cleanup(server.Close)
 
-	all := hosts(9, 1)
+	all := makeHosts(9, 1)
 	for i := range all {
 		all[i].Address = server.Listener.Addr().String()
 	}
 	f := newFleet(Host{Name: "another", Domain: "z0"})
-	announced(f, all...)
+	announceHosts(f, all...)
 	if len(f.readers("list")) == 0 {
 		t.Fatal("the host is a reader itself")
 	}
@@ -184,19 +184,19 @@
 		defer close(done)
 		copied.Run(ctx)
 	}()
-	until.True(t, "a fresh answer", func() bool {
+	until.True(t, "a fresh response", func() bool {
 		part, ok := f.Relay(context.Background(), "list", 0)
 		return ok && len(part.Records) == 1 && part.End == 1
 	})
 	cancel()
 	<-done
-	until.True(t, "the answer is too old", func() bool {
+	until.True(t, "the response is too old", func() bool {
 		_, ok := f.Relay(context.Background(), "list", 0)
 		return !ok
 	})
 }
 
-// peer is another host that lends and takes.
+// peer is another host that lends tokens and accepts transfers.
 type peer struct {
 	server *httptest.Server
 	asked  atomic.Int64
@@ -224,7 +224,7 @@
 
 func (p *peer) address() string { return p.server.Listener.Addr().String() }
 
-func TestBorrowsInTurnUntilItIsEnough(t *testing.T) {
+func TestBorrowStopsOnceEnoughIsLent(t *testing.T) {
 	is := is.New(t)
 	peers := []*peer{newPeer(t, 30, true, true), newPeer(t, 30, true, true), newPeer(t, 30, true, true)}
 	f := newFleet(Host{Name: "self"})
@@ -241,16 +241,16 @@
 	is.Equal(f.Borrow(context.Background(), "org", 500, 0).Tokens, int64(90))
 }
 
-func TestBorrowFromNobody(t *testing.T) {
+func TestBorrowWithoutReachableLenders(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(Host{Name: "self"})
 	f.seeds = []string{"127.0.0.1:1"}
 	is.Equal(f.Borrow(context.Background(), "org", 50, 0), prepaid.Loan{})
 }
 
-// A loan whose answer comes too late is recalled, again and again until the lender
-// answers, and not used.
-func TestLoanWithoutAnswerIsRecalled(t *testing.T) {
+// A loan whose response comes too late is not used, and is recalled until the lender acknowledges
+// the recall.
+func TestUnansweredLoanIsRecalled(t *testing.T) {
 	is := is.New(t)
 	var lent atomic.Value
 	recalled := make(chan string, 1)
@@ -285,9 +285,9 @@
 	is.True(refused.Load())
 }
 
-// A gift whose answer is lost is repeated until it comes; the host that has it takes it
-// once, which its treasury sees to by the gift's id.
-func TestGiftWithoutAnswerIsRepeated(t *testing.T) {
+// A transfer whose response is lost is retried until one arrives. The retries carry the same id, by
+// which the receiver's allocator credits the tokens once.
+func TestUnansweredTransferIsRetried(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	taken := map[string]int64{}
@@ -304,13 +304,13 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		taker.Handler().ServeHTTP(w, r)
 		if calls.Add(1) < 3 {
-			panic(http.ErrAbortHandler) // the answer is lost
+			panic(http.ErrAbortHandler) // the response is lost
 		}
 	}))
 	t.Cleanup(server.Close)
 	f := newFleet(Host{Name: "self"})
 	list := []peerHost{{address: server.Listener.Addr().String(), incarnation: "7"}}
-	is.True(f.giveTo(context.Background(), list, "org", 70))
+	is.True(f.transferTo(context.Background(), list, "org", 70))
 	mu.Lock()
 	defer mu.Unlock()
 	is.Equal(len(taken), 1)
@@ -319,8 +319,8 @@
 	}
 }
 
-// What an incarnation that ended may have taken, the next one does not take again.
-func TestGiftIsForOneIncarnation(t *testing.T) {
+// Tokens that a previous incarnation may have accepted are not credited again by the next one.
+func TestTransferIsForOneIncarnation(t *testing.T) {
 	is := is.New(t)
 	taken := atomic.Int64{}
 	taker := func(incarnation string) http.Handler {
@@ -342,12 +342,12 @@
 	spare := newPeer(t, 0, false, true)
 	f := newFleet(Host{Name: "self"})
 	list := []peerHost{{address: server.Listener.Addr().String(), incarnation: "1"}, {address: spare.address()}}
-	is.True(!f.giveTo(context.Background(), list, "org", 70))
+	is.True(!f.transferTo(context.Background(), list, "org", 70))
 	is.Equal(taken.Load(), int64(70))
 	is.Equal(spare.given.Load(), int64(0))
 }
 
-// unknownIncarnations are hosts known by their address alone.
+// unknownIncarnations returns hosts of which only the address is known.
 func unknownIncarnations(addresses []string) []peerHost {
 	var list []peerHost
 	for _, a := range addresses {
@@ -356,16 +356,16 @@
 	return list
 }
 
-// Tokens are given to one host only.
-func TestGive(t *testing.T) {
+// Unreachable and refusing hosts are skipped, and exactly one host is credited.
+func TestTransferGoesToOneHostOnly(t *testing.T) {
 	is := is.New(t)
 	refuses, takes, spare := newPeer(t, 0, false, false), newPeer(t, 0, false, true), newPeer(t, 0, false, true)
 	f := newFleet(Host{Name: "self"})
 	list := []string{"127.0.0.1:1", refuses.address(), takes.address(), spare.address()}
-	is.True(f.giveTo(context.Background(), unknownIncarnations(list), "org", 70))
+	is.True(f.transferTo(context.Background(), unknownIncarnations(list), "org", 70))
 	is.Equal(takes.given.Load(), int64(70))
 	is.Equal(spare.given.Load(), int64(0))
-	is.True(!f.giveTo(context.Background(), unknownIncarnations(list[:2]), "org", 70))
+	is.True(!f.transferTo(context.Background(), unknownIncarnations(list[:2]), "org", 70))
 }
 
 func TestAnnouncesAndLeaves(t *testing.T) {
@@ -393,7 +393,7 @@
 	time.Sleep(30 * time.Millisecond)
 	l.SetFault("self", memlog.Fault{})
 	before := beat()
-	until.True(t, "it goes on", func() bool { return beat() > before })
+	until.True(t, "announcements resume", func() bool { return beat() > before })
 	cancel()
 	<-done
 	is.NoErr(f.Leave(context.Background()))
@@ -401,10 +401,10 @@
 	is.True(!listed)
 }
 
-func TestBadCallsAreRefused(t *testing.T) {
+func TestMalformedCallsAreRejected(t *testing.T) {
 	is := is.New(t)
 	p := newPeer(t, 10, true, true)
-	for _, path := range []string{pathPull, pathLend, pathRecall, pathGive} {
+	for _, path := range []string{pathPull, pathLend, pathRecall, pathTransfer} {
 		resp, err := p.server.Client().Post(p.server.URL+path, "application/json", strings.NewReader("{"))
 		is.NoErr(err)
 		resp.Body.Close()
--- a/router/fleet/room_test.go
+++ b/router/fleet/headroom_test.go
@@ -12,19 +12,19 @@
 	"github.com/matryer/is"
 )
 
-// lender stands in for a host that lends nothing and could lend so many tokens.
+// lender serves a host that lends nothing and reports that it could lend free tokens.
 func lender(t *testing.T, free int64, asked *atomic.Int64) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		asked.Add(1)
-		write(w, lendResponse{Keeper: true, Free: free})
+		writeJSON(w, lendResponse{Keeper: true, Free: free})
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Room that a host keeps for large requests is not taken in pieces by small ones; what hosts
-// have that is too little alone still is.
-func TestKeptRoomIsNotGathered(t *testing.T) {
+// Tokens that a host reserves for large requests are not borrowed in parts by small ones; what
+// several hosts hold, too little each, still is.
+func TestReservedHeadroomIsNotBorrowedPiecemeal(t *testing.T) {
 	for name, c := range map[string]struct {
 		free  int64 // at each of two hosts
 		calls int64
--- a/router/fleet/history.go
+++ b/router/fleet/history.go
@@ -7,19 +7,19 @@
 	"maststage.dev/router/prepaid"
 )
 
-// historyRequest asks what a host saw of the limits of budgets.
+// historyRequest asks for the changes of budget limits that a host has seen.
 type historyRequest struct {
-	Since int64 `json:"since"` // the version from which on
+	Since int64 `json:"since"` // version of the configuration
 }
 
 type historyResponse struct {
 	Since   int64            `json:"since"`
 	UpTo    int64            `json:"up_to"`
-	Lowered map[string]int64 `json:"lowered,omitempty"` // only versions above the one asked for
+	Lowered map[string]int64 `json:"lowered,omitempty"` // version of the last reduction, by organisation; only those above Since of the request
 }
 
-// FetchHistory asks one other host, drawn anew each time, what it saw of the limits of budgets
-// since a version.
+// FetchHistory asks one other host, chosen at random each time, for the changes of budget limits
+// that it has seen since a version.
 func (f *Fleet) FetchHistory(ctx context.Context, since int64) (h prepaid.LimitHistory, ok bool) {
 	addresses := f.addresses()
 	f.mu.Lock()
@@ -29,14 +29,14 @@
 		return h, false
 	}
 	var got historyResponse
-	err := f.calls.do(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &got)
-	f.noteSilent(addresses[0], err)
+	err := f.client.callWithTimeout(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &got)
+	f.recordCallResult(addresses[0], err)
 	return prepaid.LimitHistory{Since: got.Since, UpTo: got.UpTo, Lowered: got.Lowered}, err == nil
 }
 
 func (f *Fleet) serveHistory(w http.ResponseWriter, r *http.Request) {
 	var ask historyRequest
-	if !read(w, r, &ask) {
+	if !readJSON(w, r, &ask) {
 		return
 	}
 	h := f.opts.History()
@@ -46,5 +46,5 @@
 			answer.Lowered[organisation] = version
 		}
 	}
-	write(w, answer)
+	writeJSON(w, answer)
 }
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -9,47 +9,48 @@
 	"maststage.dev/router/keeper"
 )
 
-// SetBudgetShares takes over which part of all prepaid tokens each organisation has.
+// SetBudgetShares sets each organisation's share (0 to 1) of all prepaid tokens.
 func (f *Fleet) SetBudgetShares(parts map[string]float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.parts = parts
+	f.budgetShares = parts
 }
 
-// Keepers says how many hosts hold tokens of a budget, and whether this host is one of
+// Keepers returns how many hosts hold tokens of a budget, and whether this host is one of
 // them. In a small fleet all are; in a large one few are, and the others borrow from them.
 func (f *Fleet) Keepers(organisation string) (count int, self bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others := f.others()
-	count = keeper.Count(len(others)+1, f.parts[organisation])
+	others := f.activePeers()
+	count = keeper.Count(len(others)+1, f.budgetShares[organisation])
 	return count, keeper.IsKeeper(organisation, f.opts.Self.Name, others, count)
 }
 
-// IsPrimary says whether this host is the one of all that has a duty.
+// IsPrimary reports whether this host is the only one, of all active hosts, to perform a duty.
 func (f *Fleet) IsPrimary(duty string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := rendezvous.Score(duty, f.opts.Self.Name)
 	for name, k := range f.hosts {
-		if f.counts(name, k) && rendezvous.Score(duty, name) > own {
+		if f.isActive(name, k) && rendezvous.Score(duty, name) > own {
 			return false
 		}
 	}
 	return true
 }
 
-// counts says whether a host other than this one takes part; the lock is held.
-func (f *Fleet) counts(name string, k known) bool {
-	return name != f.opts.Self.Name && time.Since(k.seen) < forgetAfter
+// isActive reports whether a host is another one and has not expired; the lock is held.
+func (f *Fleet) isActive(name string, k peerState) bool {
+	return name != f.opts.Self.Name && time.Since(k.lastSeen) < peerExpiry
 }
 
-// domains counts the hosts of each failure domain and in all, this one included.
-func (f *Fleet) domains() (domains map[string]int, total int) {
+// domainSizes counts the active hosts in each failure domain and in total, this host included;
+// the lock is held.
+func (f *Fleet) domainSizes() (domains map[string]int, total int) {
 	domains = map[string]int{f.opts.Self.Domain: 1}
 	total = 1
 	for name, k := range f.hosts {
-		if f.counts(name, k) {
+		if f.isActive(name, k) {
 			domains[k.host.Domain]++
 			total++
 		}
@@ -57,17 +58,17 @@
 	return domains, total
 }
 
-// lenders lists the addresses of the hosts that are asked for tokens of a budget, those
-// that did not answer a moment ago last; nil if each host takes its own slices.
+// lenders lists the addresses of the hosts to ask for tokens of a budget, recently silent ones
+// last. It is nil in a small fleet, where each host takes tokens from the log itself.
 func (f *Fleet) lenders(organisation string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others := f.others()
+	others := f.activePeers()
 	hosts := len(others) + 1
 	if hosts <= keeper.SmallFleet {
 		return nil
 	}
-	names := keeper.Lenders(organisation, f.opts.Self.Name, others, keeper.Count(hosts, f.parts[organisation]))
+	names := keeper.Lenders(organisation, f.opts.Self.Name, others, keeper.Count(hosts, f.budgetShares[organisation]))
 	addresses := make([]string, 0, len(names))
 	for _, name := range names {
 		addresses = append(addresses, f.hosts[name].host.Address)
@@ -75,43 +76,43 @@
 	return f.silentLast(addresses)
 }
 
-// othersFor is how long the list of the other hosts is used: each request that needs tokens
-// asks for it, and hosts come and go within seconds.
-const othersFor = 200 * time.Millisecond
+// activePeersTTL is how long the list of active peers is cached: each request that needs tokens
+// reads it, and hosts join and leave within seconds.
+const activePeersTTL = 200 * time.Millisecond
 
-// others lists the names of the other hosts that take part, as of a moment ago; the lock is
+// activePeers lists the names of the other active hosts, from a short-lived cache; the lock is
 // held.
-func (f *Fleet) others() []string {
-	if now := time.Now(); now.Sub(f.othersAt) > othersFor {
-		f.othersAt, f.othersThen = now, f.otherNames()
+func (f *Fleet) activePeers() []string {
+	if now := time.Now(); now.Sub(f.cachedPeersAt) > activePeersTTL {
+		f.cachedPeersAt, f.cachedPeers = now, f.listActivePeers()
 	}
-	return f.othersThen
+	return f.cachedPeers
 }
 
-func (f *Fleet) otherNames() []string {
+func (f *Fleet) listActivePeers() []string {
 	names := make([]string, 0, len(f.hosts))
 	for name, k := range f.hosts {
-		if f.counts(name, k) {
+		if f.isActive(name, k) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// domainMates lists the other hosts of this host's failure domain; the lock is held.
-func (f *Fleet) domainMates() []known {
-	var same []known
+// domainPeers lists the other active hosts in this host's failure domain; the lock is held.
+func (f *Fleet) domainPeers() []peerState {
+	var same []peerState
 	for name, k := range f.hosts {
-		if f.counts(name, k) && k.host.Domain == f.opts.Self.Domain {
+		if f.isActive(name, k) && k.host.Domain == f.opts.Self.Domain {
 			same = append(same, k)
 		}
 	}
 	return same
 }
 
-// inTurn lists the addresses of hosts that share a duty, beginning with another one at
-// each host that asks; those that did not answer a moment ago are last. The lock is held.
-func (f *Fleet) inTurn(duty string, hosts []known) []string {
+// rotatedAddresses lists the addresses of hosts that share a duty. The starting point depends on
+// this host's name to spread the load; recently silent hosts come last. The lock is held.
+func (f *Fleet) rotatedAddresses(duty string, hosts []peerState) []string {
 	addresses := make([]string, 0, len(hosts))
 	for i := range hosts {
 		start := int(rendezvous.Score(duty, f.opts.Self.Name) % uint64(len(hosts)))
@@ -120,11 +121,11 @@
 	return f.silentLast(addresses)
 }
 
-// silentLast puts the addresses that did not answer a moment ago last; the lock is held.
+// silentLast moves the addresses of recently silent hosts to the end; the lock is held.
 func (f *Fleet) silentLast(addresses []string) []string {
 	var good, silent []string
 	for _, address := range addresses {
-		if f.silentNow(address) {
+		if f.recentlySilentLocked(address) {
 			silent = append(silent, address)
 		} else {
 			good = append(good, address)
@@ -133,32 +134,35 @@
 	return append(good, silent...)
 }
 
-// silentPause is how long a host that did not answer is asked last.
-const silentPause = 2 * time.Second
+// silentWindow is how long a host that did not respond is asked last.
+const silentWindow = 2 * time.Second
 
-// silentNow says whether a host did not answer a moment ago; the lock is held.
-func (f *Fleet) silentNow(address string) bool { return time.Since(f.silent[address]) < silentPause }
+// recentlySilentLocked reports whether a host did not respond within silentWindow; the lock is held.
+func (f *Fleet) recentlySilentLocked(address string) bool {
+	return time.Since(f.silentSince[address]) < silentWindow
+}
 
-// wasSilent says whether a host did not answer a moment ago.
-func (f *Fleet) wasSilent(address string) bool {
+// recentlySilent reports whether a host did not respond within silentWindow.
+func (f *Fleet) recentlySilent(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.silentNow(address)
+	return f.recentlySilentLocked(address)
 }
 
-// noteSilent notes whether a host answered a call. One that can't serve it is there all the same.
-func (f *Fleet) noteSilent(address string, err error) {
+// recordCallResult notes whether a host responded to a call. One that cannot serve the call is
+// reachable all the same.
+func (f *Fleet) recordCallResult(address string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var status *statusError
 	if err == nil || errors.As(err, &status) {
-		delete(f.silent, address)
+		delete(f.silentSince, address)
 		return
 	}
-	f.silent[address] = time.Now()
+	f.silentSince[address] = time.Now()
 }
 
-// shuffled gives the addresses in random order.
+// shuffled shuffles list in place and returns it.
 func shuffled(list []string) []string {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
--- a/router/fleet/loss.go
+++ b/router/fleet/loss.go
@@ -6,64 +6,64 @@
 	"maststage.dev/router/replica"
 )
 
-// The loss of all hosts is told by the announcements that outlive them: the topic is much older
-// than the other hosts, nearly all of which have begun to count their announcements when this
-// one did. A host that counts on from before proves that not all were lost. A planned restart of
-// nearly all hosts within some ten seconds looks the same.
+// The loss of all hosts is detected from their announcements, which outlive them: the topic is
+// much older than the other hosts, nearly all of which restarted their sequence numbers when
+// this host started. A host whose sequence continues proves that not all hosts were lost. A
+// planned restart of nearly all hosts within some ten seconds looks the same.
 
 const (
-	// lostPart is the part of the other hosts that must have begun anew. Some may not
-	// come back, or later.
-	lostPart = 0.75
-	// oldTopic is how many announcements there must be of each host for the topic to be
-	// older than hosts that have just begun, which have made one or two.
-	oldTopic = 4
-	// lostFor is how long an answer to AllLost is used: it is asked for each request.
-	lostFor = 200 * time.Millisecond
+	// minRestartedShare is the share of the other hosts that must have restarted. Some may come
+	// back later or never.
+	minRestartedShare = 0.75
+	// minAnnouncementsPerHost is how many announcements per host the topic must hold to be older
+	// than hosts that have just started, which have made one or two.
+	minAnnouncementsPerHost = 4
+	// allLostTTL is how long a result of AllHostsLost is cached: each request reads it.
+	allLostTTL = 200 * time.Millisecond
 )
 
-// AllHostsLost says whether all hosts were lost shortly before this one started, as far as their
-// announcements tell.
+// AllHostsLost reports whether the announcements show that all hosts were lost shortly before
+// this one started.
 func (f *Fleet) AllHostsLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := time.Now(); now.Sub(f.lostAt) > lostFor {
-		f.lostAt, f.lostThen = now, f.allAnew()
+	if now := time.Now(); now.Sub(f.cachedLostAt) > allLostTTL {
+		f.cachedLostAt, f.cachedLost = now, f.othersRestarted()
 	}
-	return f.lostThen
+	return f.cachedLost
 }
 
-// allAnew says whether the other hosts began anew when this one did; the lock is held.
-func (f *Fleet) allAnew() bool {
+// othersRestarted reports whether the other hosts restarted when this one did; the lock is held.
+func (f *Fleet) othersRestarted() bool {
 	anew, others := 0, 0
 	for name, k := range f.hosts {
-		if !f.counts(name, k) {
+		if !f.isActive(name, k) {
 			continue
 		}
 		others++
 		switch {
-		case k.young:
+		case k.restarted:
 			anew++
-		case k.told:
+		case k.reannounced:
 			return false
 		}
 	}
-	return others > 0 && f.before > int64(oldTopic*(others+1)) && float64(anew) >= lostPart*float64(others)
+	return others > 0 && f.initialEnd > int64(minAnnouncementsPerHost*(others+1)) && float64(anew) >= minRestartedShare*float64(others)
 }
 
-// noteFirst takes in what this host reads first of the topic; the lock is held.
-func (f *Fleet) noteFirst(changes []replica.Change) {
-	if f.read {
+// noteInitialEnd records the end of the topic at its first read; the lock is held.
+func (f *Fleet) noteInitialEnd(changes []replica.Change) {
+	if f.topicRead {
 		return
 	}
-	f.read = true
+	f.topicRead = true
 	for _, c := range changes {
-		f.before = max(f.before, c.Record.Offset+1)
+		f.initialEnd = max(f.initialEnd, c.Record.Offset+1)
 	}
 }
 
-// mostBeats is how often a host can have announced itself that started when this one did, and
-// one time more.
-func (f *Fleet) mostBeats(now time.Time) int64 {
-	return 2 + int64(now.Sub(f.born)/(f.opts.AnnounceInterval/2+1))
+// maxSequence is the highest sequence number, plus a margin of one, that a host can have reached
+// if it started when this one did.
+func (f *Fleet) maxSequence(now time.Time) int64 {
+	return 2 + int64(now.Sub(f.createdAt)/(f.opts.AnnounceInterval/2+1))
 }
--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -16,7 +16,7 @@
 	"maststage.dev/standin/memlog"
 )
 
-// lossFleet is a fleet whose hosts all die at once and come back.
+// lossFleet is a fleet whose hosts all fail at once and restart.
 type lossFleet struct {
 	t       *testing.T
 	all     []Host
@@ -29,16 +29,16 @@
 	running    sync.WaitGroup
 }
 
-// start starts all hosts anew; nothing of an earlier start is left but the log.
+// start starts new incarnations of all hosts; only the log survives from an earlier start.
 func (l *lossFleet) start(incarnation int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel, l.treasuries = cancel, nil
 	calls := inProcess{}
 	for _, self := range l.all {
 		f := newFleet(self)
-		f.calls.http.Transport = calls
-		announced(f, l.all...)
-		f.SetBudgetShares(partsOf(l.limits))
+		f.client.http.Transport = calls
+		announceHosts(f, l.all...)
+		f.SetBudgetShares(budgetSharesOf(l.limits))
 		tr := prepaid.New(prepaid.Options{
 			Log: l.log.Host(self.Name), Topic: "b", Partitions: 4, Host: fmt.Sprintf("%s/%d", self.Name, incarnation),
 			Sizing: prepaid.DefaultSizing, Timeout: time.Second, RefreshInterval: 400 * time.Millisecond, MaxWait: 150 * time.Millisecond,
@@ -52,24 +52,24 @@
 	}
 }
 
-// kind is a kind of request, with its share of all requests.
-type kind struct {
+// requestKind is a kind of request and its share of all requests.
+type requestKind struct {
 	name     string
 	share    float64
-	tokens   float64 // mean; 0: it needs none
+	tokens   float64 // mean; 0 if it needs none
 	priority int
 }
 
-// Two users' kinds of requests. Plain services need no tokens, but half of what is asked of them
-// is refused, as where half of their targets are evacuated or new.
-var kinds = []kind{
+// The request mix of two customers. Plain services need no tokens, but half of their requests are
+// refused, as if half of their targets were evacuated or new.
+var kinds = []requestKind{
 	{"long document", 0.18, 12_500, 0},
 	{"short question", 0.29, 1_100, 1},
 	{"check", 0.27, 2_400, 2},
 	{"plain service", 0.26, 0, 0},
 }
 
-func draw(r *rand.Rand) kind {
+func drawKind(r *rand.Rand) requestKind {
 	at := r.Float64()
 	for _, k := range kinds {
 		if at -= k.share; at < 0 {
@@ -79,12 +79,12 @@
 	return kinds[len(kinds)-1]
 }
 
-// tally counts requests of one span.
+// tally counts the requests of one period.
 type tally struct{ asked, served atomic.Int64 }
 
-// serve lets one request come to a host, which works on it for a while.
+// serve sends one request to a random host, which takes a while to process it.
 func (l *lossFleet) serve(r *rand.Rand, organisation string, counts *tally) {
-	k := draw(r)
+	k := drawKind(r)
 	counts.asked.Add(1)
 	if k.tokens == 0 {
 		if r.Float64() < 0.5 {
@@ -106,25 +106,24 @@
 	})
 }
 
-// traffic sends requests at a rate for a time.
+// traffic sends requests at a mean rate per second for a period.
 func (l *lossFleet) traffic(r *rand.Rand, rate float64, span time.Duration, counts *tally) {
 	const organisations = 10
 	end := time.Now().Add(span)
 	for time.Now().Before(end) {
-		// A few organisations are large.
+		// A few organisations send most requests.
 		organisation := fmt.Sprintf("org%d", min(r.IntN(organisations), r.IntN(organisations)))
 		l.serve(r, organisation, counts)
 		time.Sleep(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
 	}
 }
 
-// All hosts lose power with tokens in hand, which are gone, and no more come: the budgets end
-// some seconds after the hosts are back, half a minute before the next top-up. On seven days that
-// were played so, all that was left went to whoever came first, nine tenths of it to long
-// documents of 12,000 tokens each, and then three of four callers were refused: of 342 requests
-// sent later than 12 s after the return 80 were served, 77 of 322, 285 of 1,310, 277 of 1,211.
-// The aim is that at least a quarter is served, though half of what is asked of plain services
-// is refused for reasons of its own.
+// All hosts lose power and with it the tokens that they hold, and no more are granted: the budgets are
+// exhausted some seconds after the restart, half a minute before the next top-up. In seven such
+// simulated days the remaining tokens went to the first requests, nine tenths to long documents of
+// 12,000 tokens each, and then three of four callers were refused: of the requests sent later than
+// 12 s after the restart, 80 of 342, 77 of 322, 285 of 1,310 and 277 of 1,211 were served. At least
+// a quarter must be served, though half of the requests to plain services are refused regardless.
 func TestCallersAreServedAfterTheLossOfAllHosts(t *testing.T) {
 	for _, size := range []int{6, 8, 30, 87, 300} {
 		for seed := range uint64(3) {
@@ -137,21 +136,21 @@
 
 func lossOfAllHosts(t *testing.T, size int, seed uint64) {
 	const (
-		recovery = 12 * time.Second // after the return, from which on the quarter counts
-		rest     = 10 * time.Second // until the next top-up
+		recovery = 12 * time.Second // after the restart; later requests count towards the quarter
+		rest     = 10 * time.Second // until the next top-up of the budgets
 	)
 	r := rand.New(rand.NewPCG(seed, uint64(size)))
 	rate := min(12*float64(size), 400)
 	before := time.Duration((25 + 10*r.Float64()) * float64(time.Second))
-	// The budgets end within some seconds of the return, some of them before the loss.
+	// The budgets are exhausted within some seconds of the restart, some of them before the loss.
 	lasts := before.Seconds() + 8*r.Float64()
 	flow := 0.0
 	for _, k := range kinds {
 		flow += k.share * k.tokens * rate
 	}
-	l := &lossFleet{t: t, all: hosts(size, 4), log: memlog.New(), limits: map[string]int64{}}
+	l := &lossFleet{t: t, all: makeHosts(size, 4), log: memlog.New(), limits: map[string]int64{}}
 	for i := range 10 {
-		part := float64(2*(10-i)-1) / 100 // of the traffic
+		part := float64(2*(10-i)-1) / 100 // of all requests
 		l.limits[fmt.Sprintf("org%d", i)] = int64(part * flow * lasts * (0.9 + 0.3*r.Float64()))
 	}
 	for organisation, limit := range l.limits {
@@ -168,7 +167,7 @@
 	time.Sleep(3 * time.Second)
 	l.cancel()
 	l.running.Wait()
-	time.Sleep(3 * time.Second) // calls between hosts end
-	t.Logf("later than %v after the return %d of %d served; before %d of %d", recovery, late.served.Load(), late.asked.Load(), early.served.Load(), early.asked.Load())
+	time.Sleep(3 * time.Second) // until calls between hosts have ended
+	t.Logf("later than %v after the restart %d of %d served; before that %d of %d", recovery, late.served.Load(), late.asked.Load(), early.served.Load(), early.asked.Load())
 	is.New(t).True(4*late.served.Load() >= late.asked.Load())
 }
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -30,18 +30,18 @@
 	treasuries []*prepaid.Allocator
 }
 
-// newPool starts n hosts in five failure domains; parts are those of the organisations.
+// newPool starts n hosts in five failure domains; limits are the budgets of the organisations.
 func newPool(t *testing.T, n int, limits map[string]int64) *pool {
 	p := &pool{log: memlog.New()}
 	calls := inProcess{}
-	all := hosts(n, 5)
+	all := makeHosts(n, 5)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for _, self := range all {
 		f := newFleet(self)
-		f.calls.http.Transport = calls
-		announced(f, all...)
-		f.SetBudgetShares(partsOf(limits))
+		f.client.http.Transport = calls
+		announceHosts(f, all...)
+		f.SetBudgetShares(budgetSharesOf(limits))
 		tr := prepaid.New(prepaid.Options{
 			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Sizing: prepaid.DefaultSizing,
 			Timeout: 100 * time.Millisecond, RefreshInterval: 400 * time.Millisecond, MaxWait: 100 * time.Millisecond,
@@ -62,7 +62,7 @@
 	return p
 }
 
-func partsOf(limits map[string]int64) map[string]float64 {
+func budgetSharesOf(limits map[string]int64) map[string]float64 {
 	total, parts := int64(0), map[string]float64{}
 	for _, limit := range limits {
 		total += limit
@@ -73,13 +73,13 @@
 	return parts
 }
 
-// ask lets a request arrive at any host; it uses all of its tokens.
-func (p *pool) ask(organisation string, tokens int64) bool {
-	return p.askAt(rand.IntN(len(p.treasuries)), organisation, tokens)
+// reserveAnywhere reserves tokens at a random host and uses all of them.
+func (p *pool) reserveAnywhere(organisation string, tokens int64) bool {
+	return p.reserveAt(rand.IntN(len(p.treasuries)), organisation, tokens)
 }
 
-// askAt lets a request arrive at one host.
-func (p *pool) askAt(host int, organisation string, tokens int64) bool {
+// reserveAt reserves tokens at one host and uses all of them.
+func (p *pool) reserveAt(host int, organisation string, tokens int64) bool {
 	tr := p.treasuries[host]
 	r, err := tr.Reserve(context.Background(), organisation, tokens)
 	if err != nil {
@@ -99,24 +99,24 @@
 	return sum
 }
 
-// Tokens that one host holds serve a request at any other, also while the log is away: the
-// fleet refuses nothing before nearly all that it holds is spent. Requests of an
-// organisation come to any of many hosts, each of which sees few of them.
-func TestHeldTokensAreWithinReachWhileTheLogIsAway(t *testing.T) {
+// Tokens held by one host serve requests at any other, also while the log is unavailable: the fleet
+// refuses nothing until nearly all tokens that it holds are spent. Requests of an organisation
+// arrive at any of many hosts, each of which sees few of them.
+func TestHeldTokensAreUsableWhileTheLogIsUnavailable(t *testing.T) {
 	const request, rate, seconds = 9_000, 40, 3
 	for _, n := range []int{20, 87} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(t, n, map[string]int64{"large": 30_000_000, "small": 10_000_000})
 			for range rate * seconds {
-				is.True(p.ask("large", request)) // nothing is refused while the log is there
+				is.True(p.reserveAnywhere("large", request)) // nothing is refused while the log is available
 				time.Sleep(time.Second / rate)
 			}
 			p.log.SetFault("", memlog.Fault{Refuse: true})
 			held := p.free("large")
-			is.True(held > 3*rate*request) // some seconds of the flow
+			is.True(held > 3*rate*request) // enough for some seconds
 			served := int64(0)
-			for p.ask("large", request) {
+			for p.reserveAnywhere("large", request) {
 				served++
 			}
 			t.Logf("held %d, served %d, left %d", held, served*request, p.free("large"))
@@ -125,17 +125,17 @@
 	}
 }
 
-// A request asks five hosts at most. An organisation may have more keepers: what those hold
-// that a request does not ask serves it too, as a keeper that ran dry gets from the others.
-// Requests were refused though all asks were answered at once, and up to 0.08 of what the
-// fleet held lay at a keeper that they did not ask.
-func TestKeepersThatRunDryGetFromTheOthers(t *testing.T) {
+// A request asks at most five hosts, but an organisation may have more keepers. An exhausted keeper
+// borrows from the others, so that a request can use their tokens, too. Guards against refusals
+// while keepers that were not asked held up to 0.08 of the fleet's tokens, though all asked hosts
+// responded at once.
+func TestExhaustedKeeperBorrowsFromOtherKeepers(t *testing.T) {
 	is := is.New(t)
 	const request, hosts = 9_000, 120
 	p := newPool(t, hosts, map[string]int64{"org": 50_000_000})
 	for range 2 {
 		for host := range hosts {
-			is.True(p.askAt(host, "org", request))
+			is.True(p.reserveAt(host, "org", request))
 		}
 	}
 	keepers, asker := 0, -1
@@ -146,23 +146,23 @@
 			asker = i
 		}
 	}
-	is.True(keepers > borrowFrom)
+	is.True(keepers > maxLenders)
 	p.log.SetFault("", memlog.Fault{Refuse: true})
 	held, served := p.free("org"), int64(0)
-	for p.askAt(asker, "org", request) {
+	for p.reserveAt(asker, "org", request) {
 		served++
 	}
 	t.Logf("%d keepers, held %d, served %d, left %d", keepers, held, served*request, p.free("org"))
 	is.True(float64(served*request) > 0.9*float64(held))
 }
 
-// Where the log is away for some hosts, the keepers among them, others take their place.
+// If the log is unavailable to some hosts, the keepers among them, other hosts replace them.
 func TestKeepersWithoutTheLogAreReplaced(t *testing.T) {
 	is := is.New(t)
 	const request = 9_000
 	p := newPool(t, 40, map[string]int64{"org": 50_000_000})
 	for range 20 {
-		is.True(p.ask("org", request))
+		is.True(p.reserveAnywhere("org", request))
 	}
 	for i, tr := range p.treasuries {
 		if h, _ := tr.Holding("org"); h.Keeper {
@@ -170,26 +170,26 @@
 		}
 	}
 	for range 300 {
-		is.True(p.ask("org", request))
+		is.True(p.reserveAnywhere("org", request))
 	}
 }
 
-// Requests of all sizes are refused alike as the fleet runs dry: what is left is not spread
-// over hosts in pieces that only small ones fit into.
-func TestSmallRequestsAreNotServedFromLeftPieces(t *testing.T) {
+// As the fleet runs out of tokens, requests of all sizes are refused alike: the remaining tokens are
+// not scattered over hosts in amounts that fit small requests only.
+func TestLargeAndSmallRequestsAreRefusedAlike(t *testing.T) {
 	is := is.New(t)
 	const small, large = 1_000, 20_000
 	p := newPool(t, 40, map[string]int64{"org": 40_000_000})
 	for range 60 {
-		is.True(p.ask("org", large))
-		is.True(p.ask("org", small))
+		is.True(p.reserveAnywhere("org", large))
+		is.True(p.reserveAnywhere("org", small))
 		time.Sleep(20 * time.Millisecond)
 	}
 	p.log.SetFault("", memlog.Fault{Refuse: true})
 	refused := map[int64]int{}
 	for range 2_000 {
 		for _, tokens := range []int64{small, small, small, large} {
-			if !p.ask("org", tokens) {
+			if !p.reserveAnywhere("org", tokens) {
 				refused[tokens]++
 			}
 		}
@@ -199,5 +199,5 @@
 	}
 	t.Log(refused, p.free("org"))
 	is.True(refused[large] > 0)
-	is.True(refused[small] >= 2*refused[large]) // of three times as many
+	is.True(refused[small] >= 2*refused[large]) // there are three times as many small ones
 }
--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -15,52 +15,52 @@
 	"maststage.dev/router/quarantine"
 )
 
-// Figures of pulls.
+// Bounds on pulls.
 const (
-	// pullFrom is how many hosts a round asks: one of them may be cut off, too.
-	pullFrom = 2
-	// maxPulls is how many hosts may be asked at the same time, over several rounds.
-	maxPulls = 6
-	// pullTimeout is how long another host may be silent. A call needs two round trips and,
-	// where callers fill this host's link, one takes up to 0.6 s. A host that is gone costs
-	// nothing but one of maxPulls.
+	// hostsPerRound is how many hosts a round asks: one of them may be cut off, too.
+	hostsPerRound = 2
+	// maxConcurrentPulls bounds the pulls in progress over all rounds.
+	maxConcurrentPulls = 6
+	// pullTimeout is how long another host may be silent. A call needs two round trips, and where
+	// client traffic fills this host's link one round trip takes up to 0.6 s. An unreachable host
+	// only occupies one of maxConcurrentPulls.
 	pullTimeout = 1500 * time.Millisecond
-	// failedPullLines bounds the lines a second about pulls that failed; a host that can
-	// reach nobody tries some seven times a second.
-	failedPullLines = 2
+	// failedPullLogRate bounds the log lines a second about failed pulls; a host that can reach
+	// no other tries some seven times a second.
+	failedPullLogRate = 2
 )
 
-// puller asks other hosts for what this one may have missed of the log.
+// puller fetches from other hosts the log records that this one may have missed.
 type puller struct {
-	fleet    *Fleet
-	failed   *logging.Limiter // of lines about pulls that failed
-	fetching sync.Mutex       // held by the one pull that fetches records
-	calls    sync.WaitGroup
-
-	mu    sync.Mutex
-	asked map[string]bool // addresses of the pulls under way
-	last  string          // address that brought records last
+	fleet      *Fleet
+	failureLog *logging.Limiter // limits log lines about failed pulls
+	fetching   sync.Mutex       // held while a pull fetches records
+	inFlight   sync.WaitGroup
+
+	mu         sync.Mutex
+	inProgress map[string]bool // addresses of the pulls in progress
+	lastSource string          // address that last provided records
 }
 
 func newPuller(f *Fleet) *puller {
-	return &puller{fleet: f, failed: logging.NewLimiter(failedPullLines), asked: map[string]bool{}}
+	return &puller{fleet: f, failureLog: logging.NewLimiter(failedPullLogRate), inProgress: map[string]bool{}}
 }
 
-// run asks others while the log does not tell, until ctx ends.
+// run pulls while replicas are stale, until ctx ends.
 func (p *puller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if topics := p.fleet.stale(); len(topics) > 0 {
-			p.round(ctx, topics)
+		if topics := p.fleet.staleTopics(); len(topics) > 0 {
+			p.startRound(ctx, topics)
 		}
 		every := p.fleet.opts.PullInterval
 		wait.For(ctx, every/2+rand.N(every))
 	}
-	p.calls.Wait()
+	p.inFlight.Wait()
 }
 
-// stale lists the topics that the log has not told of for a while, each with the
+// staleTopics lists the topics for which the log has not responded for a while, each with the
 // offset from which records are missing.
-func (f *Fleet) stale() map[string]int64 {
+func (f *Fleet) staleTopics() map[string]int64 {
 	now := time.Now()
 	topics := map[string]int64{}
 	for topic, c := range f.opts.Replicas {
@@ -71,57 +71,57 @@
 	return topics
 }
 
-// round begins to ask some hosts and does not wait for them: one that is silent does not
-// hold up the next round.
-func (p *puller) round(ctx context.Context, topics map[string]int64) {
-	for _, address := range p.choose() {
-		p.calls.Go(func() {
+// startRound starts pulls from some hosts and does not wait for them, so that a silent host does
+// not delay the next round.
+func (p *puller) startRound(ctx context.Context, topics map[string]int64) {
+	for _, address := range p.chooseHosts() {
+		p.inFlight.Go(func() {
 			started := time.Now()
-			err := p.pullAt(ctx, address, topics)
-			p.note(address, topics, time.Since(started), err)
+			err := p.pull(ctx, address, topics)
+			p.finish(address, topics, time.Since(started), err)
 		})
 	}
 }
 
-// choose picks the hosts of a round: first the one that brought records last, to which
-// there is a connection, then any that are not being asked, silent ones last.
-func (p *puller) choose() []string {
+// chooseHosts picks the hosts of a round: first the last source of records, to which a connection
+// is open, then any others without a pull in progress, recently silent ones last.
+func (p *puller) chooseHosts() []string {
 	others := p.fleet.addresses()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	slices.SortStableFunc(others, func(a, b string) int { return p.rank(a) - p.rank(b) })
 	var chosen []string
 	for _, address := range others {
-		if len(chosen) == pullFrom || len(p.asked) == maxPulls {
+		if len(chosen) == hostsPerRound || len(p.inProgress) == maxConcurrentPulls {
 			break
 		}
-		if !p.asked[address] {
-			p.asked[address] = true
+		if !p.inProgress[address] {
+			p.inProgress[address] = true
 			chosen = append(chosen, address)
 		}
 	}
 	return chosen
 }
 
-// rank orders the hosts that may be asked; the lock is held.
+// rank orders the candidates, lowest first; the lock is held.
 func (p *puller) rank(address string) int {
 	switch {
-	case address == p.last:
+	case address == p.lastSource:
 		return 0
-	case !p.fleet.wasSilent(address):
+	case !p.fleet.recentlySilent(address):
 		return 1
 	}
 	return 2
 }
 
-// note ends and counts a pull, and logs one that failed with what it asked for: without
-// it a host that gets nothing looks like one that misses nothing.
-func (p *puller) note(address string, topics map[string]int64, took time.Duration, err error) {
-	p.fleet.noteSilent(address, err)
+// finish ends and counts a pull. It logs a failed one with what was requested: otherwise a host
+// that gets nothing looks like one that misses nothing.
+func (p *puller) finish(address string, topics map[string]int64, took time.Duration, err error) {
+	p.fleet.recordCallResult(address, err)
 	p.mu.Lock()
-	delete(p.asked, address)
-	if err != nil && p.last == address {
-		p.last = ""
+	delete(p.inProgress, address)
+	if err != nil && p.lastSource == address {
+		p.lastSource = ""
 	}
 	p.mu.Unlock()
 	outcome := PullOK
@@ -134,18 +134,18 @@
 	if err == nil {
 		return
 	}
-	if ok, skipped := p.failed.Allow(time.Now()); ok {
+	if ok, skipped := p.failureLog.Allow(time.Now()); ok {
 		log.WithFields(log.Fields{
 			"peer": address, "from": topics, "took": took.Round(time.Millisecond), "skipped": skipped,
-		}).WithError(err).Info("pull from another host failed")
+		}).WithError(err).Info("pull of missed log records from another host failed")
 	}
 }
 
-// pullAt asks another host how far it knows the topics, and fetches what it has beyond
-// this host's copies. Only one pull at a time fetches: two that bring the same records
-// over a full link take twice as long, and so may outlast what makes them useful.
-func (p *puller) pullAt(ctx context.Context, address string, topics map[string]int64) error {
-	calls := p.fleet.calls
+// pull asks another host for the end offsets of the topics and fetches what lies beyond this
+// host's replicas. Only one pull at a time fetches: two that fetch the same records over a
+// saturated link take twice as long and may complete too late to be useful.
+func (p *puller) pull(ctx context.Context, address string, topics map[string]int64) error {
+	calls := p.fleet.client
 	asked := time.Now()
 	var ends pullResponse
 	if err := calls.fetch(ctx, address, pathPull, pullRequest{From: topics, EndsOnly: true}, &ends); err != nil {
@@ -156,9 +156,9 @@
 	}
 	p.fetching.Lock()
 	defer p.fetching.Unlock()
-	missing := p.fleet.behind(ends)
+	missing := p.fleet.topicsBehind(ends)
 	if len(missing) == 0 {
-		p.fleet.notePulled(asked)
+		p.fleet.recordPull(asked)
 		return nil
 	}
 	var got pullResponse
@@ -166,36 +166,36 @@
 		return err
 	}
 	p.mu.Lock()
-	p.last = address
+	p.lastSource = address
 	p.mu.Unlock()
 	if err := p.fleet.merge(address, missing, got); err != nil {
 		return err
 	}
-	p.fleet.notePulled(asked)
+	p.fleet.recordPull(asked)
 	return nil
 }
 
-// merge takes over the records of the topics that another host was asked for.
+// merge applies the records of the topics that were requested from another host.
 func (f *Fleet) merge(address string, asked map[string]int64, got pullResponse) error {
 	for topic, answer := range got.Topics {
 		if _, wanted := asked[topic]; !wanted {
 			continue
 		}
-		part, err := answer.part()
+		part, err := answer.update()
 		if err != nil {
 			return fmt.Errorf("records of %s: %w", topic, err)
 		}
 		log.WithFields(log.Fields{
 			"peer": address, "topic": topic, "records": len(part.Records), "end": part.End, "bytes": len(answer.Packed),
-		}).Info("pulled from another host")
+		}).Info("pulled missed log records from another host")
 		f.opts.Replicas[topic].MergeUpdate(part)
 	}
 	return nil
 }
 
-// behind lists the topics that another host knows further than this one, each with the
-// offset from which this one lacks records.
-func (f *Fleet) behind(other pullResponse) map[string]int64 {
+// topicsBehind lists the topics in which another host is ahead of this one, each with the offset
+// from which this host lacks records.
+func (f *Fleet) topicsBehind(other pullResponse) map[string]int64 {
 	missing := map[string]int64{}
 	for topic, part := range other.Topics {
 		c := f.opts.Replicas[topic]
--- a/router/fleet/quarantine.go
+++ b/router/fleet/quarantine.go
@@ -14,24 +14,24 @@
 
 // Paths of the calls about requests that crash targets.
 const (
-	pathEnds       = "/fleet/ends"
+	pathExits      = "/fleet/ends"
 	pathCleared    = "/fleet/cleared"
 	pathQuarantine = "/fleet/quarantine"
 )
 
-// Figures of these calls.
+// Bounds on these calls.
 const (
-	// countingHosts is how many hosts count the ends under a request: one may be gone and
+	// countingHosts is how many hosts count the target exits under a request: one may be down and
 	// one cut off.
 	countingHosts = 3
-	// tellAtOnce bounds the hosts that are called at the same time: 300 hosts, half of them
-	// silent, are through within two seconds.
-	tellAtOnce = 64
-	// tellRounds is how often a host that did not answer is told.
-	tellRounds = 3
+	// maxConcurrentCalls bounds the hosts called at the same time: calls to 300 hosts, half of them
+	// silent, complete within two seconds.
+	maxConcurrentCalls = 64
+	// notifyAttempts is how often a notice is sent to a host that does not respond.
+	notifyAttempts = 3
 )
 
-// Quarantine is what this host knows of requests that crash targets; *quarantine.Guard does.
+// Quarantine detects requests that crash targets; *quarantine.Guard implements it.
 type Quarantine interface {
 	AddReports(reports []quarantine.Report)
 	IsCleared(d quarantine.Digest) bool
@@ -39,7 +39,7 @@
 	Unpersisted() []quarantine.Entry
 }
 
-type endsRequest struct {
+type exitsRequest struct {
 	Reports []quarantine.Report `json:"reports"`
 }
 
@@ -51,16 +51,17 @@
 	Cleared bool `json:"cleared"`
 }
 
-// done is the answer to a call that asks nothing.
-type done struct{}
+// emptyResponse is the response to a call that returns no data.
+type emptyResponse struct{}
 
-// CountingHosts lists the addresses of the hosts that count the ends under a request, without
-// this host, and this host's place among them.
+// CountingHosts lists the addresses of the hosts, other than this one, that count the target exits
+// under a request, and this host's position among all of them; the position of a host that does
+// not count is their number.
 func (f *Fleet) CountingHosts(d quarantine.Digest) (others []string, place int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	self := f.opts.Self.Name
-	names := append([]string{self}, f.others()...)
+	names := append([]string{self}, f.activePeers()...)
 	ranked := rendezvous.Rank(d.String(), names, func(name string) string { return name })
 	ranked = ranked[:min(len(ranked), countingHosts)]
 	place = len(ranked)
@@ -74,22 +75,22 @@
 	return others, place
 }
 
-// Report tells a counting host of ends.
+// Report sends reports of target exits to a counting host.
 func (f *Fleet) Report(ctx context.Context, address string, reports []quarantine.Report) error {
-	err := f.calls.do(ctx, address, pathEnds, endsRequest{Reports: reports}, &done{})
-	f.noteSilent(address, err)
+	err := f.client.callWithTimeout(ctx, address, pathExits, exitsRequest{Reports: reports}, &emptyResponse{})
+	f.recordCallResult(address, err)
 	return err
 }
 
-// Cleared asks all other hosts whether a request came whole there. It returns at the first
-// that says so.
+// Cleared asks all other hosts whether a request completed there. It returns at the first
+// that confirms it.
 func (f *Fleet) Cleared(ctx context.Context, d quarantine.Digest) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var cleared atomic.Bool
-	f.each(f.addresses(), func(address string) {
+	f.forEach(f.addresses(), func(address string) {
 		var got clearedResponse
-		if err := f.calls.do(ctx, address, pathCleared, clearedRequest{Digest: d}, &got); err == nil && got.Cleared {
+		if err := f.client.callWithTimeout(ctx, address, pathCleared, clearedRequest{Digest: d}, &got); err == nil && got.Cleared {
 			cleared.Store(true)
 			cancel()
 		}
@@ -97,14 +98,14 @@
 	return cleared.Load()
 }
 
-// Broadcast gives a notice to all other hosts, and again to those that did not answer.
+// Broadcast sends a notice to all other hosts, and again to those that did not respond.
 func (f *Fleet) Broadcast(ctx context.Context, n quarantine.Notice) {
 	addresses := f.addresses()
-	for range tellRounds {
+	for range notifyAttempts {
 		var mu sync.Mutex
 		var failed []string
-		f.each(addresses, func(address string) {
-			if err := f.calls.do(ctx, address, pathQuarantine, n, &done{}); err != nil {
+		f.forEach(addresses, func(address string) {
+			if err := f.client.callWithTimeout(ctx, address, pathQuarantine, n, &emptyResponse{}); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				failed = append(failed, address)
@@ -115,13 +116,13 @@
 		}
 	}
 	if len(addresses) > 0 {
-		log.WithFields(log.Fields{"digest": n.Entry.Digest, "hosts": len(addresses)}).Info("hosts not told of a quarantine")
+		log.WithFields(log.Fields{"digest": n.Entry.Digest, "hosts": len(addresses)}).Info("some hosts did not respond to a quarantine notice")
 	}
 }
 
-// each calls do for each address, some at the same time.
-func (f *Fleet) each(addresses []string, do func(address string)) {
-	places := make(chan struct{}, tellAtOnce)
+// forEach calls do for each address, up to maxConcurrentCalls at the same time.
+func (f *Fleet) forEach(addresses []string, do func(address string)) {
+	places := make(chan struct{}, maxConcurrentCalls)
 	var all sync.WaitGroup
 	for _, address := range addresses {
 		places <- struct{}{}
@@ -133,28 +134,28 @@
 	all.Wait()
 }
 
-func (f *Fleet) serveEnds(w http.ResponseWriter, r *http.Request) {
-	var ask endsRequest
-	if !read(w, r, &ask) {
+func (f *Fleet) serveExits(w http.ResponseWriter, r *http.Request) {
+	var ask exitsRequest
+	if !readJSON(w, r, &ask) {
 		return
 	}
 	f.opts.Quarantine.AddReports(ask.Reports)
-	write(w, done{})
+	writeJSON(w, emptyResponse{})
 }
 
 func (f *Fleet) serveCleared(w http.ResponseWriter, r *http.Request) {
 	var ask clearedRequest
-	if !read(w, r, &ask) {
+	if !readJSON(w, r, &ask) {
 		return
 	}
-	write(w, clearedResponse{Cleared: f.opts.Quarantine.IsCleared(ask.Digest)})
+	writeJSON(w, clearedResponse{Cleared: f.opts.Quarantine.IsCleared(ask.Digest)})
 }
 
 func (f *Fleet) serveQuarantine(w http.ResponseWriter, r *http.Request) {
 	var n quarantine.Notice
-	if !read(w, r, &n) {
+	if !readJSON(w, r, &n) {
 		return
 	}
 	f.opts.Quarantine.HandleNotice(n)
-	write(w, done{})
+	writeJSON(w, emptyResponse{})
 }
--- a/router/fleet/recall.go
+++ b/router/fleet/recall.go
@@ -11,68 +11,68 @@
 	"maststage.dev/lib/wait"
 )
 
-// Figures of recalls.
+// Bounds on recalls.
 const (
-	recallQueue   = 1024 // loans waiting to be recalled; beyond it they count as spent
-	recallEvery   = 100 * time.Millisecond
-	recallTimeout = 200 * time.Millisecond
-	recallTries   = 150 // with the pauses, longer than hosts are usually cut off
+	recallQueueSize   = 1024 // loans; beyond it loans are not recalled and count as spent
+	recallInterval    = 100 * time.Millisecond
+	recallTimeout     = 200 * time.Millisecond
+	maxRecallAttempts = 150 // with the intervals, longer than hosts are usually cut off
 )
 
-// recaller takes back loans whose answers did not come, so that what was lent is not
-// lost. The borrower has given these loans up: it never uses them.
+// recaller takes back loans whose responses did not arrive, so that the lent tokens are not
+// lost. The borrower never uses such a loan.
 type recaller struct {
-	calls  *client
-	prefix string // of loan ids, unique for each start of a host
-	last   atomic.Int64
-	queue  chan unanswered
+	client   *client
+	idPrefix string // unique to this incarnation of the host
+	lastID   atomic.Int64
+	queue    chan pendingRecall
 }
 
-// unanswered is a loan without an answer.
-type unanswered struct {
-	address string // of the lender
-	id      string
-	tries   int
+// pendingRecall is a loan without a response.
+type pendingRecall struct {
+	address  string // of the lender
+	id       string
+	attempts int
 }
 
 func newRecaller(calls *client, prefix string) *recaller {
-	return &recaller{calls: calls, prefix: prefix + "/", queue: make(chan unanswered, recallQueue)}
+	return &recaller{client: calls, idPrefix: prefix + "/", queue: make(chan pendingRecall, recallQueueSize)}
 }
 
-// newLoan gives an id for a loan that is about to be asked for.
-func (r *recaller) newLoan() string { return r.prefix + strconv.FormatInt(r.last.Add(1), 36) }
+// newLoanID returns the id for a new loan request.
+func (r *recaller) newLoanID() string { return r.idPrefix + strconv.FormatInt(r.lastID.Add(1), 36) }
 
-// add recalls a loan soon; it never blocks.
-func (r *recaller) add(loan unanswered) {
+// add queues a loan for recall; it never blocks.
+func (r *recaller) add(loan pendingRecall) {
 	select {
 	case r.queue <- loan:
 	default:
-		log.WithFields(log.Fields{"peer": loan.address, "loan": loan.id}).Warn("loan not recalled: too many wait")
+		log.WithFields(log.Fields{"peer": loan.address, "loan": loan.id}).Warn("loan not recalled: the recall queue is full")
 	}
 }
 
 // run recalls loans until ctx ends.
 func (r *recaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		var waiting []unanswered
+		var waiting []pendingRecall
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-r.queue:
-			waiting = r.drain([]unanswered{first})
+			waiting = r.drainQueue([]pendingRecall{first})
 		}
 		for _, loan := range r.recall(ctx, waiting) {
-			loan.tries++
-			if loan.tries < recallTries {
+			loan.attempts++
+			if loan.attempts < maxRecallAttempts {
 				r.add(loan)
 			}
 		}
-		wait.For(ctx, recallEvery)
+		wait.For(ctx, recallInterval)
 	}
 }
 
-// drain adds what else waits.
-func (r *recaller) drain(list []unanswered) []unanswered {
+// drainQueue appends the queued loans to list.
+func (r *recaller) drainQueue(list []pendingRecall) []pendingRecall {
 	for {
 		select {
 		case loan := <-r.queue:
@@ -83,9 +83,9 @@
 	}
 }
 
-// recall makes a call to each lender and gives the loans whose lender did not answer.
-func (r *recaller) recall(ctx context.Context, waiting []unanswered) (failed []unanswered) {
-	byLender := map[string][]unanswered{}
+// recall makes one call to each lender and returns the loans whose lender did not respond.
+func (r *recaller) recall(ctx context.Context, waiting []pendingRecall) (failed []pendingRecall) {
+	byLender := map[string][]pendingRecall{}
 	for _, loan := range waiting {
 		byLender[loan.address] = append(byLender[loan.address], loan)
 	}
@@ -96,9 +96,9 @@
 		}
 		var got recallResponse
 		call, cancel := context.WithTimeout(ctx, recallTimeout)
-		err := r.calls.do(call, address, pathRecall, ask, &got)
+		err := r.client.callWithTimeout(call, address, pathRecall, ask, &got)
 		cancel()
-		log.WithFields(log.Fields{"peer": address, "loans": len(loans), "tokens": got.Tokens, "answered": err == nil}).Debug("loans recalled")
+		log.WithFields(log.Fields{"peer": address, "loans": len(loans), "tokens": got.Tokens, "answered": err == nil}).Debug("recall of unanswered loans sent")
 		if err != nil {
 			failed = append(failed, loans...)
 		}
--- a/router/fleet/relay.go
+++ b/router/fleet/relay.go
@@ -11,34 +11,34 @@
 	"maststage.dev/router/replica"
 )
 
-// Figures of relays. The list of targets grows with the targets, and so does what
-// each reader of it costs the log; in a large fleet a few hosts of each failure domain
-// read it and the others ask them for what changed.
+// Bounds on relays. The list of targets grows with their number, and so does the load on the log
+// from each reader of the list; in a large fleet a few hosts of each failure domain read it and
+// relay its changes to the others.
 const (
-	readerGroup  = 12                     // hosts of a failure domain to one reader
-	relayAsked   = 2                      // readers asked before the log is
-	relayTimeout = 150 * time.Millisecond // for an answer
-	relayMaxAge  = 900 * time.Millisecond // an older answer does not count
+	hostsPerReader  = 12                     // in a failure domain
+	maxReadersAsked = 2                      // before the log is read instead
+	relayTimeout    = 150 * time.Millisecond // for a response
+	relayMaxAge     = 900 * time.Millisecond // older responses are ignored
 )
 
-// Relay asks a reader of a topic in this host's failure domain for what changed from
-// an offset on. ok is false if this host is a reader itself, or none has a fresh answer.
+// Relay asks a reader of a topic in this host's failure domain for the changes from an offset
+// on. ok is false if this host is a reader itself, or no reader has a fresh response.
 func (f *Fleet) Relay(ctx context.Context, topic string, from int64) (part replica.Update, ok bool) {
 	readers := f.readers(topic)
-	for _, address := range readers[:min(len(readers), relayAsked)] {
+	for _, address := range readers[:min(len(readers), maxReadersAsked)] {
 		ask := pullRequest{From: map[string]int64{topic: from}}
 		var got pullResponse
 		call, cancel := context.WithTimeout(ctx, relayTimeout)
-		err := f.calls.do(call, address, pathPull, ask, &got)
+		err := f.client.callWithTimeout(call, address, pathPull, ask, &got)
 		cancel()
-		f.noteSilent(address, err)
+		f.recordCallResult(address, err)
 		answer, told := got.Topics[topic]
 		if err != nil || !told {
 			continue
 		}
-		part, err = answer.part()
+		part, err = answer.update()
 		if err != nil {
-			log.WithField("peer", address).WithError(err).Error("records of another host can't be read")
+			log.WithField("peer", address).WithError(err).Error("cannot decode records from another host")
 			continue
 		}
 		if part.Age <= relayMaxAge {
@@ -48,24 +48,24 @@
 	return replica.Update{}, false
 }
 
-// readers lists the addresses of the hosts that read a topic for this one, in another
-// order for each host; none in a small fleet, and none if this host is a reader.
+// readers lists the addresses of the hosts that read a topic for this one, in an order that differs
+// between hosts. It is empty in a small fleet and if this host is a reader.
 func (f *Fleet) readers(topic string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	domains, total := f.domains()
+	domains, total := f.domainSizes()
 	if total <= keeper.SmallFleet {
 		return nil
 	}
-	same := append(f.domainMates(), known{host: f.opts.Self})
-	ranked := rendezvous.Rank(topic, same, func(k known) string { return k.host.Name })
-	ranked = ranked[:min(len(ranked), readersOf(domains[f.opts.Self.Domain]))]
+	same := append(f.domainPeers(), peerState{host: f.opts.Self})
+	ranked := rendezvous.Rank(topic, same, func(k peerState) string { return k.host.Name })
+	ranked = ranked[:min(len(ranked), readerCount(domains[f.opts.Self.Domain]))]
 	for _, k := range ranked {
 		if k.host.Name == f.opts.Self.Name {
 			return nil
 		}
 	}
-	return f.inTurn(topic, ranked)
+	return f.rotatedAddresses(topic, ranked)
 }
 
-func readersOf(hosts int) int { return (hosts + readerGroup - 1) / readerGroup }
+func readerCount(hosts int) int { return (hosts + hostsPerReader - 1) / hostsPerReader }
--- a/router/fleet/silent_test.go
+++ b/router/fleet/silent_test.go
@@ -15,7 +15,8 @@
 	"maststage.dev/standin/faultlink"
 )
 
-// Connections to another host that go silent without a reset cost one call its time.
+// Open connections to another host that go silent without a reset cost no more than one timed-out
+// call.
 func TestSilentPeerConnectionsCostOneCall(t *testing.T) {
 	is := is.New(t)
 	lender := New(Options{
@@ -39,19 +40,20 @@
 	is.Equal(borrow(), int64(10))
 }
 
-// A host of an earlier build answers that it does not know a call. It is asked for tokens as before.
-func TestUnknownCallIsNotSilence(t *testing.T) {
+// A host of an earlier build responds that it does not know a call. It still counts as
+// responsive and is asked for tokens as before.
+func TestUnknownCallDoesNotMarkHostSilent(t *testing.T) {
 	is := is.New(t)
 	older := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(older.Close)
 	address := older.Listener.Addr().String()
 	f := newFleet(Host{Name: "h0", Domain: "z0"})
-	announced(f, Host{Name: "older", Domain: "z0", Address: address})
+	announceHosts(f, Host{Name: "older", Domain: "z0", Address: address})
 	_, err := f.reportTo(t.Context(), address, rollout.Report{Service: "s"})
 	is.True(err != nil)
-	is.True(!f.wasSilent(address))
+	is.True(!f.recentlySilent(address))
 	older.Close()
 	_, err = f.reportTo(t.Context(), address, rollout.Report{Service: "s"})
 	is.True(err != nil)
-	is.True(f.wasSilent(address))
+	is.True(f.recentlySilent(address))
 }
--- a/router/fleet/thinlink_test.go
+++ b/router/fleet/thinlink_test.go
@@ -17,7 +17,7 @@
 
 var configs = eventlog.Partition{Topic: "configs"}
 
-// peerAt starts a host that follows the log and answers others; it gives its address.
+// peerAt starts a host that follows the log and serves other hosts; it returns its address.
 func peerAt(t *testing.T, l *memlog.Log, name string) string {
 	t.Helper()
 	c := followed(t, l, name)
@@ -31,14 +31,14 @@
 	return server.Listener.Addr().String()
 }
 
-// followed is a host's copy of the configuration, kept up until the test ends.
+// followed returns a host's replica of the configuration, kept up to date until the test ends.
 func followed(t *testing.T, l *memlog.Log, host string) *replica.Replica {
 	c := replica.New(replica.Options{Log: l.Host(host), Partition: configs, LongPoll: time.Second, ReadTimeout: time.Second})
 	untilEnd(t, c.Run)
 	return c
 }
 
-// untilEnd runs a duty until the test ends.
+// untilEnd runs a function in the background until the test ends.
 func untilEnd(t *testing.T, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -52,13 +52,12 @@
 	})
 }
 
-// Hosts that the log did not answer were seen to stay at an old configuration for as long
-// as that lasted, and seconds longer, once it had grown to 335 KB. They asked two other
-// hosts at a time for it, again and again, and each call was cut off after half a second:
-// twice 447 KB, as the record was encoded, need 0.7 s on a link of 10 Mbit/s. So no call
-// could succeed, and together they kept the link full: the hosts read 600 to 800 KB/s, and
-// the peers' calls that failed had all ended at the time allowed.
-func TestLargeRecordOverAThinLink(t *testing.T) {
+// Guards against hosts staying at an old configuration while the log is silent, as seen once it had
+// grown to 335 KB. Each host pulled from two others at a time, and each call was cut off after
+// 0.5 s, though twice 447 KB, as the record was encoded, take 0.7 s at 10 Mbit/s. No call could
+// succeed, and the retries kept the link full: hosts read 600 to 800 KB/s, and all failed calls
+// ended by timeout.
+func TestLargeRecordIsPulledOverASlowLink(t *testing.T) {
 	noise := make([]byte, 800e3)
 	_, _ = rand.NewChaCha8([32]byte{}).Read(noise)
 	for name, value := range map[string][]byte{
@@ -69,22 +68,22 @@
 	}
 }
 
-// On hosts whose callers filled the link, calls to others and to the log waited longer for
-// their first byte than the half second they were given, new connections included. They
-// went on to fail, as often as they were tried, until the callers had gone elsewhere: up to
-// eight seconds behind the others, though a record on its way needs a tenth of a second.
-func TestRecordBehindAQueue(t *testing.T) {
+// Guards against pulls that fail while client traffic fills a host's link: calls to others and to the
+// log waited for their first byte longer than their timeout of 0.5 s, new connections included,
+// and failed at each retry until the callers had left. Hosts fell up to eight seconds behind,
+// though the record itself takes a tenth of a second to transfer.
+func TestRecordIsPulledThroughAQueueingLink(t *testing.T) {
 	pullsInTime(t, thinlink.Queued(linkBytes, 600*time.Millisecond), bigconfig.Routes(1770, 1))
 }
 
 const linkBytes = 1.25e6 // a second: 10 Mbit/s
 
-// pullsInTime publishes a record and fails the test unless a host that the log does not
-// answer has it in time, over its link and from two peers.
+// pullsInTime publishes a record and fails the test unless a host for which the log is silent gets
+// it in time, over its link and from two peers.
 func pullsInTime(t *testing.T, link *thinlink.Link, value []byte) {
 	const (
 		inForce = 3 * time.Second
-		pull    = 300 * time.Millisecond // as a host of the product pulls
+		pull    = 300 * time.Millisecond // as in production
 		timeout = 500 * time.Millisecond
 	)
 	l := memlog.New()
@@ -102,11 +101,11 @@
 		if c.End() != 1 {
 			continue
 		}
-		// Encoded it takes a third more; a second copy of it on the way would double it.
+		// Encoding adds a third; sending a second copy would double it.
 		if sent, most := link.Sent(), int64(1.6*float64(len(value))); sent > most {
-			t.Errorf("%d bytes crossed the link for a record of %d", sent, len(value))
+			t.Errorf("%d bytes crossed the link for a record of %d bytes", sent, len(value))
 		}
 		return
 	}
-	t.Fatalf("after %v the host has nothing of it, though %d KB crossed its link", inForce, link.Sent()/1000)
+	t.Fatalf("after %v the host does not have the record, though %d KB crossed its link", inForce, link.Sent()/1000)
 }
--- /dev/null
+++ b/router/fleet/transfers.go
@@ -0,0 +1,123 @@
+package fleet
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"maststage.dev/lib/wait"
+)
+
+// Bounds on transfers of tokens.
+const (
+	transferTimeout    = 200 * time.Millisecond // for one response; hosts respond within a few ms
+	transferDeadline   = time.Second            // for the whole transfer; a planned stop allows no more
+	transferRetryDelay = 20 * time.Millisecond  // before an unanswered transfer is retried
+)
+
+// peerHost is a host that may receive tokens.
+type peerHost struct {
+	address     string
+	incarnation string // empty if not known yet
+}
+
+// TransferIdle transfers idle tokens to a keeper of the budget.
+func (f *Fleet) TransferIdle(ctx context.Context, organisation string, tokens int64) bool {
+	return f.transferTo(ctx, f.peerHosts(f.lenders(organisation)), organisation, tokens)
+}
+
+// Transfer transfers tokens to any other host, trying keepers of the budget last.
+func (f *Fleet) Transfer(ctx context.Context, organisation string, tokens int64) bool {
+	list := f.addresses()
+	if lenders := f.lenders(organisation); lenders != nil {
+		list = append(lenders, list...)
+	}
+	return f.transferTo(ctx, f.peerHosts(list), organisation, tokens)
+}
+
+// peerHosts looks up the incarnations of the hosts at the given addresses.
+func (f *Fleet) peerHosts(addresses []string) []peerHost {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	incarnations := map[string]string{}
+	for _, k := range f.hosts {
+		incarnations[k.host.Address] = k.host.Incarnation
+	}
+	list := make([]peerHost, 0, len(addresses))
+	for _, a := range addresses {
+		list = append(list, peerHost{address: a, incarnation: incarnations[a]})
+	}
+	return list
+}
+
+// transferResult is the outcome of an offer of tokens to one host.
+type transferResult int
+
+const (
+	transferAccepted    transferResult = iota
+	transferRefused                    // the host refused the tokens
+	transferUnreachable                // the offer did not reach the host
+	transferUncertain                  // the host may have accepted the tokens without a response
+)
+
+// transferTo transfers tokens to the first host that accepts them. The next host is tried only
+// if the previous one certainly did not accept them. Unreachable hosts are tried again until
+// transferDeadline, since tokens that no host accepts are lost.
+func (f *Fleet) transferTo(ctx context.Context, hosts []peerHost, organisation string, tokens int64) bool {
+	ctx, cancel := context.WithTimeout(ctx, transferDeadline)
+	defer cancel()
+	for len(hosts) > 0 && ctx.Err() == nil {
+		var unreachable []peerHost
+		for _, host := range hosts {
+			switch f.offerTo(ctx, host, organisation, tokens) {
+			case transferAccepted:
+				return true
+			case transferUncertain:
+				return false
+			case transferUnreachable:
+				unreachable = append(unreachable, host)
+			}
+		}
+		hosts = unreachable
+		wait.For(ctx, transferRetryDelay)
+	}
+	return false
+}
+
+// offerTo offers tokens to one host. An unanswered call is retried with the same id and for the
+// same incarnation: a host remembers its responses as long as it runs.
+func (f *Fleet) offerTo(ctx context.Context, host peerHost, organisation string, tokens int64) transferResult {
+	ask := transferRequest{ID: f.newTransferID(), Incarnation: host.incarnation, Organisation: organisation, Tokens: tokens}
+	unanswered := false
+	for {
+		var got transferResponse
+		call, cancel := context.WithTimeout(ctx, transferTimeout)
+		err := f.client.callWithTimeout(call, host.address, pathTransfer, ask, &got)
+		cancel()
+		switch {
+		case err == nil && got.Accepted:
+			return transferAccepted
+		case err == nil && got.Incarnation == ask.Incarnation:
+			return transferRefused
+		case err == nil && unanswered:
+			return transferUncertain // the previous incarnation may have accepted them
+		case err == nil:
+			ask.Incarnation = got.Incarnation
+			continue
+		case notSent(err) && !unanswered:
+			return transferUnreachable
+		case !notSent(err):
+			unanswered = true
+		}
+		if ctx.Err() != nil {
+			return transferUncertain
+		}
+		wait.For(ctx, transferRetryDelay)
+	}
+}
+
+// newTransferID returns the id of a transfer, unique among all hosts.
+func (f *Fleet) newTransferID() string {
+	self := f.opts.Self
+	return self.Name + "/" + self.Incarnation + "/" + strconv.FormatInt(f.transferSeq.Add(1), 36)
+}
--- a/router/fleet/gifts_test.go
+++ b/router/fleet/transfers_test.go
@@ -12,10 +12,10 @@
 	"maststage.dev/router/prepaid"
 )
 
-// A host that can't be reached for a moment gets the gift a little later: on a busy machine a
-// connection alone may outlast the time for an answer, and where no other host is there to take
-// them the tokens of a planned stop would be lost.
-func TestGiftReachesAHostThatWasOutOfReach(t *testing.T) {
+// A transfer to a briefly unreachable host succeeds a little later: on a busy machine connecting
+// alone may outlast transferTimeout, and if no other host can accept them, the tokens of a
+// planned stop would be lost.
+func TestTransferReachesHostThatWasUnreachable(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -23,7 +23,7 @@
 	is.NoErr(l.Close())
 	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { return true }})
 	go func() {
-		time.Sleep(2 * giveTimeout)
+		time.Sleep(2 * transferTimeout)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			t.Error(err)
@@ -33,11 +33,11 @@
 		_ = http.Serve(l, taker.Handler()) // ends with the listener
 	}()
 	f := newFleet(Host{Name: "self"})
-	is.True(f.giveTo(context.Background(), []peerHost{{address: address, incarnation: "7"}}, "org", 70))
+	is.True(f.transferTo(context.Background(), []peerHost{{address: address, incarnation: "7"}}, "org", 70))
 }
 
-// A host that says no is not asked again.
-func TestGiftThatIsRefusedIsNotOfferedAgain(t *testing.T) {
+// A host that refused a transfer is not asked again.
+func TestRefusedTransferIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	asked := 0
 	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { asked++; return false }})
@@ -45,7 +45,7 @@
 	is.NoErr(err)
 	go func() { _ = http.Serve(l, taker.Handler()) }()
 	f := newFleet(Host{Name: "self"})
-	is.True(!f.giveTo(context.Background(), []peerHost{{address: l.Addr().String(), incarnation: "7"}}, "org", 70))
+	is.True(!f.transferTo(context.Background(), []peerHost{{address: l.Addr().String(), incarnation: "7"}}, "org", 70))
 	is.NoErr(l.Close())
 	is.Equal(asked, 1)
 }
