--- a/router/replica/merge.go
+++ b/router/replica/merge.go
@@ -2,46 +2,45 @@
 
 import "maststage.dev/router/eventlog"
 
-// MergeUpdate takes over what another host's copy tells.
-func (r *Replica) MergeUpdate(part Update) {
-	if !part.Full {
-		r.MergeNewest(part.Records, part.End)
+// MergeUpdate merges an update from another host's replica.
+func (r *Replica) MergeUpdate(update Update) {
+	if !update.Full {
+		r.MergeNewest(update.Records, update.End)
 		return
 	}
 	r.mu.Lock()
-	newer := !r.loaded || part.End > r.end
+	newer := !r.loaded || update.End > r.end
 	r.mu.Unlock()
 	if newer {
-		r.replace(part.Records, part.End)
+		r.replace(update.Records, update.End)
 	}
 }
 
-// MergeNewest takes over the newest records of keys from another host's copy, of
-// which all records below end are known. Older records of the same keys are skipped, and so are
-// those of keys that this copy would know if they had not been deleted.
+// MergeNewest merges the newest records of keys from another replica that knows all records below
+// end. It skips records older than this replica's, and records of keys that this replica would
+// know had they not been deleted.
 func (r *Replica) MergeNewest(records []eventlog.Record, end int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	changes := r.take(r.withoutDeleted(records), true)
-	r.noteWhole(end)
+	changes := r.apply(r.withoutDeleted(records), true)
+	r.noteInitialMerge(end)
 	if end > r.end {
 		r.end = end
 	}
 	r.loaded = true
-	r.tell(changes)
+	r.notify(changes)
 }
 
-// noteWhole notes, as the copy is first filled, that it knows nothing of what was deleted below
-// an offset.
-func (r *Replica) noteWhole(end int64) {
+// noteInitialMerge records at the first merge that tombstones below an offset are unknown.
+func (r *Replica) noteInitialMerge(end int64) {
 	if !r.loaded {
-		r.dropped = max(r.dropped, end)
+		r.tombstoneHorizon = max(r.tombstoneHorizon, end)
 	}
 }
 
-// withoutDeleted leaves out the records below the end of this copy whose keys it does not have:
-// it knows all records below, so those were deleted. A copy that was read whole keeps no
-// tombstones of what was gone by then.
+// withoutDeleted drops records below the end of this replica whose keys it does not have: it
+// knows all records below, so those keys were deleted. A replica that was loaded as a whole has
+// no tombstones of keys deleted before.
 func (r *Replica) withoutDeleted(records []eventlog.Record) []eventlog.Record {
 	if !r.loaded {
 		return records
@@ -55,21 +54,20 @@
 	return kept
 }
 
-// Merge takes over records that were read from offset from on; all records below
-// end are then known.
+// Merge applies records that were read from offset from on; all records below end are then known.
 func (r *Replica) Merge(records []eventlog.Record, end, from int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	gap := !r.loaded || from > r.end
-	changes := r.take(records, gap)
+	changes := r.apply(records, gap)
 	if end > r.end {
 		r.end = end
 	}
 	r.loaded = true
-	r.tell(changes)
+	r.notify(changes)
 }
 
-// replace takes over the newest records. Keys that it lacks were deleted.
+// replace applies the newest records of all keys and deletes the keys that they lack.
 func (r *Replica) replace(records []eventlog.Record, end int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,29 +80,29 @@
 			records = append(records, eventlog.Record{Key: key, Offset: end - 1})
 		}
 	}
-	changes := r.take(records, true)
-	r.dropped = max(r.dropped, end)
+	changes := r.apply(records, true)
+	r.tombstoneHorizon = max(r.tombstoneHorizon, end)
 	if end > r.end {
 		r.end = end
 	}
 	r.loaded, r.behind = true, false
-	r.tell(changes)
+	r.notify(changes)
 }
 
-// take applies records that are newer than what is known of their keys.
-func (r *Replica) take(records []eventlog.Record, gap bool) []Change {
+// apply applies records that are newer than the known ones of their keys; the lock is held.
+func (r *Replica) apply(records []eventlog.Record, gap bool) []Change {
 	var changes []Change
 	for _, rec := range records {
 		old, had := r.records[rec.Key]
 		if had && old.Offset >= rec.Offset {
 			continue
 		}
-		next := known{Record: rec, changed: rec.Offset}
+		next := entry{Record: rec, changedAt: rec.Offset}
 		if r.opts.DedupKey != nil {
-			next.meaning = r.opts.DedupKey(rec)
+			next.dedupKey = r.opts.DedupKey(rec)
 		}
-		if had && next.meaning != nil && next.meaning == old.meaning {
-			next.changed = old.changed
+		if had && next.dedupKey != nil && next.dedupKey == old.dedupKey {
+			next.changedAt = old.changedAt
 		} else {
 			changes = append(changes, Change{Record: rec, Gap: gap})
 		}
@@ -114,7 +112,7 @@
 	return changes
 }
 
-// dropTombstones forgets the oldest half of the deleted keys when there are many.
+// dropTombstones drops the older tombstones once there are more than maxTombstones; the lock is held.
 func (r *Replica) dropTombstones() {
 	dead := 0
 	for _, rec := range r.records {
@@ -126,7 +124,7 @@
 		return
 	}
 	horizon := r.end - maxTombstones/2
-	r.dropped = max(r.dropped, horizon)
+	r.tombstoneHorizon = max(r.tombstoneHorizon, horizon)
 	for key, rec := range r.records {
 		if len(rec.Value) == 0 && rec.Offset < horizon {
 			delete(r.records, key)
@@ -134,7 +132,7 @@
 	}
 }
 
-func (r *Replica) tell(changes []Change) {
+func (r *Replica) notify(changes []Change) {
 	if len(changes) > 0 && r.opts.OnChange != nil {
 		r.opts.OnChange(changes)
 	}
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -1,7 +1,6 @@
-// Package replica keeps a local copy of a keyed partition of the shared log. It
-// follows the log by long polls and, while the log can't be reached, takes
-// records from the copies of other hosts: offsets order all records, so merging
-// needs no agreement.
+// Package replica keeps a local replica of a keyed partition of the shared log. It follows the log
+// by long polls and, while the log is unreachable, merges records from the replicas of other
+// hosts: offsets order all records, so merging needs no agreement.
 package replica
 
 import (
@@ -18,20 +17,19 @@
 // maxTombstones bounds the deleted keys that are remembered for other hosts.
 const maxTombstones = 4096
 
-// Change is one record that the copy took over.
+// Change is one record that the replica applied.
 type Change struct {
 	Record eventlog.Record
-	// Gap is set if records of the same key may have been skipped before it.
+	// Gap is set if earlier records of the same key may have been skipped.
 	Gap bool
 }
 
-// Update is the newest records of keys that changed from some offset on.
+// Update holds the newest records of the keys that changed since some offset.
 type Update struct {
 	Records []eventlog.Record
 	End     int64         // all records below are known
-	Age     time.Duration // since the log told of them
-	// Full says that these are all records that there are: what is not among them was
-	// deleted.
+	Age     time.Duration // since the log last confirmed them
+	// Full means that Records is the whole partition: keys that it lacks were deleted.
 	Full bool
 }
 
@@ -39,69 +37,69 @@
 type Options struct {
 	Log       eventlog.Log
 	Partition eventlog.Partition
-	// LongPoll is how long a read waits at the log.
+	// LongPoll is how long the log may hold a read that finds no records.
 	LongPoll time.Duration
-	// ReadTimeout is how long an answer may take beyond the wait.
+	// ReadTimeout is how long the log may be silent, beyond LongPoll.
 	ReadTimeout time.Duration
-	// MinInterval is the least time between two reads.
+	// MinInterval is the minimum time between the starts of two reads.
 	MinInterval time.Duration
-	// Relay asks another host for what changed from an offset on; ok is false if none
-	// can tell. The log is read then. nil: never.
-	Relay func(ctx context.Context, from int64) (part Update, ok bool)
-	// Hosts counts the hosts that copy the same: the more there are, the longer the pauses after
-	// calls that failed, so that all together don't keep the log from coming back. nil: few.
+	// Relay asks another host for the changes since an offset. If ok is false, the log is read
+	// instead. nil: the log is always read.
+	Relay func(ctx context.Context, from int64) (update Update, ok bool)
+	// Hosts counts the hosts that follow the same partition. The backoff after failed calls
+	// grows with it, so that retries do not keep the log overloaded. nil: few hosts.
 	Hosts func() int
-	// DedupKey gives what counts of a value, comparable. A record of the same meaning as
-	// the one before is no change. nil: each record is one.
+	// DedupKey returns the comparable part of a record that matters. A record with the same
+	// DedupKey as its predecessor is not reported as a change. nil: each record is.
 	DedupKey func(rec eventlog.Record) any
-	// OnChange is called for the changes of one read, in order of offsets, with
-	// the replica's lock held; it must not call back or block.
+	// OnChange is called with the changes of one read, in order of their offsets. The replica's
+	// lock is held: it must not call back or block.
 	OnChange func([]Change)
-	// OnConnectivity is called when the log is lost (err set) or regained (nil).
+	// OnConnectivity is called when the log becomes unreachable (err set) or reachable (nil).
 	OnConnectivity func(err error)
 }
 
-// Replica is the copy. Records of deleted keys stay as tombstones.
+// Replica is a replica of one partition. Records of deleted keys stay as tombstones.
 type Replica struct {
 	opts Options
 
-	mu      sync.Mutex
-	records map[string]known
-	end     int64 // all records below are known
-	dropped int64 // deleted keys below it may be forgotten, or were never known
-	loaded  bool
-	behind  bool               // the log's last answer left records out
-	contact time.Time          // of the log's answer that the copy rests on
-	asked   time.Time          // when the newest question was asked that was answered
-	restart context.CancelFunc // ends the question under way, or the pause after it
-	up      bool
-	called  bool // the log was called at least once
-	partial partialLoad
+	mu               sync.Mutex
+	records          map[string]entry
+	end              int64 // all records below are known
+	tombstoneHorizon int64 // tombstones below it may be missing
+	loaded           bool
+	behind           bool               // the log's last response left records out
+	lastContact      time.Time          // time of the log's response that the records are based on
+	lastRefresh      time.Time          // start of the newest successful step
+	cancelStep       context.CancelFunc // cancels the step in progress, or the pause after it
+	up               bool
+	called           bool // at least one step ended
+	partial          partialLoad
 }
 
-// partialLoad is a reading of all records that broke off between two pages. It goes on where it
-// was: begun anew each time, a large copy would never be whole at a busy log.
+// partialLoad is a load that failed between two pages. The next one resumes it: if each started
+// over, a large partition would never load completely from a busy log.
 type partialLoad struct {
-	began   time.Time
-	records []eventlog.Record
-	end     int64
-	after   string // the last key that was read
+	began    time.Time
+	records  []eventlog.Record
+	end      int64
+	afterKey string // the last key read
 }
 
-// partialFor is how long a reading that broke off is gone on with: the log keeps some seconds of
-// its history, from which the copy has to follow.
-const partialFor = 8 * time.Second
+// partialLoadTTL is how long a partial load may be resumed: the log keeps some seconds of its
+// history, from which the replica has to continue.
+const partialLoadTTL = 8 * time.Second
 
-// known is the newest record of a key.
-type known struct {
+// entry is the newest record of a key.
+type entry struct {
 	eventlog.Record
-	meaning any
-	changed int64 // offset of the record that gave it its meaning
+	dedupKey  any
+	changedAt int64 // offset of the first record with this dedupKey
 }
 
-// New makes an empty copy; Run fills and follows it.
+// New returns an empty replica; Run loads and follows the partition.
 func New(opts Options) *Replica {
-	return &Replica{opts: opts, records: map[string]known{}}
+	return &Replica{opts: opts, records: map[string]entry{}}
 }
 
 // Run follows the log until ctx ends.
@@ -109,16 +107,16 @@
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		started := time.Now()
-		age, err := r.askOnce(ctx)
+		age, err := r.cancellableStep(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		r.noteContact(age, err)
-		r.noteAsked(started.Add(-age), err)
+		r.recordContact(age, err)
+		r.recordRefresh(started.Add(-age), err)
 		pause := r.opts.MinInterval - time.Since(started)
 		if err != nil {
 			pause = wait.Jitter(backoff)
-			backoff = min(backoff*2, r.mostBackoff())
+			backoff = min(backoff*2, r.backoffLimit())
 		} else {
 			backoff = minBackoff
 		}
@@ -126,62 +124,62 @@
 	}
 }
 
-// rest is a pause that Refresh may end.
+// rest pauses for up to pause; Refresh may end it.
 func (r *Replica) rest(ctx context.Context, pause time.Duration) {
-	ctx, cancel := r.restartable(ctx)
+	ctx, cancel := r.withRefreshCancel(ctx)
 	defer cancel()
 	wait.For(ctx, pause)
 }
 
-// restartable gives a context that Refresh ends.
-func (r *Replica) restartable(ctx context.Context) (context.Context, context.CancelFunc) {
+// withRefreshCancel returns a context that Refresh cancels.
+func (r *Replica) withRefreshCancel(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.restart = cancel
+	r.cancelStep = cancel
 	return ctx, cancel
 }
 
-// askOnce is a step that Refresh may end.
-func (r *Replica) askOnce(ctx context.Context) (age time.Duration, err error) {
-	ctx, cancel := r.restartable(ctx)
+// cancellableStep runs a step that Refresh may cancel.
+func (r *Replica) cancellableStep(ctx context.Context) (age time.Duration, err error) {
+	ctx, cancel := r.withRefreshCancel(ctx)
 	defer cancel()
 	return r.step(ctx)
 }
 
-// Refresh ends the question under way, or the pause after it, so that a new one is asked soon.
+// Refresh cancels the read in progress, or the pause after it, so that a new read starts soon.
 func (r *Replica) Refresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.restart != nil {
-		r.restart()
+	if r.cancelStep != nil {
+		r.cancelStep()
 	}
 }
 
-// RefreshedSince says whether a question that was asked after a moment has been answered.
+// RefreshedSince reports whether a read that started after t has succeeded.
 func (r *Replica) RefreshedSince(t time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.asked.After(t)
+	return r.lastRefresh.After(t)
 }
 
-// Pauses after a call that failed.
+// Pauses after a failed step.
 const (
 	minBackoff     = 50 * time.Millisecond
 	maxBackoff     = 400 * time.Millisecond
-	backoffForHost = 2 * time.Millisecond // where that is more: 500 calls a second of all hosts
+	backoffPerHost = 2 * time.Millisecond // in a large fleet: 500 calls a second from all hosts
 )
 
-// mostBackoff is the longest pause after a call that failed.
-func (r *Replica) mostBackoff() time.Duration {
+// backoffLimit is the maximum pause after a failed step.
+func (r *Replica) backoffLimit() time.Duration {
 	if r.opts.Hosts == nil {
 		return maxBackoff
 	}
-	return max(maxBackoff, time.Duration(r.opts.Hosts())*backoffForHost)
+	return max(maxBackoff, time.Duration(r.opts.Hosts())*backoffPerHost)
 }
 
-// step asks a relay, or makes one call chain to the log: the newest records if the
-// copy is empty, too old or far behind, else a long poll. age is how old the answer is.
+// step asks a relay, or else the log: it loads the newest records if the replica is empty, its
+// offset was trimmed or it is far behind, and long-polls otherwise. age is how old the response is.
 func (r *Replica) step(ctx context.Context) (age time.Duration, err error) {
 	r.mu.Lock()
 	loaded, behind, from := r.loaded, r.behind, r.end
@@ -190,85 +188,85 @@
 		return 0, r.load(ctx)
 	}
 	if r.opts.Relay != nil {
-		if part, ok := r.opts.Relay(ctx, from); ok {
-			r.MergeUpdate(part)
-			return part.Age, nil
+		if update, ok := r.opts.Relay(ctx, from); ok {
+			r.MergeUpdate(update)
+			return update.Age, nil
 		}
 	}
 	return 0, r.poll(ctx, from)
 }
 
-// poll waits for records at the log.
+// poll waits for new records from the log.
 func (r *Replica) poll(ctx context.Context, from int64) error {
-	c, cancel := patience.New(ctx, patience.Limits{First: r.opts.LongPoll + r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: longestRead})
+	c, cancel := patience.New(ctx, patience.Limits{First: r.opts.LongPoll + r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: maxReadTime})
 	defer cancel()
 	batch, err := r.opts.Log.Read(c, r.opts.Partition, from, r.opts.LongPoll)
 	if errors.Is(err, eventlog.ErrTrimmed) {
 		return r.load(ctx)
 	}
 	end := from + int64(len(batch.Records))
-	// Records that came before an error count: the next read goes on behind them.
+	// Records received before an error count: the next read continues after them.
 	if err == nil || len(batch.Records) > 0 {
 		r.Merge(batch.Records, end, from)
 	}
-	r.noteBehind(err == nil && end < batch.End)
+	r.setBehind(err == nil && end < batch.End)
 	return err
 }
 
-// noteBehind notes whether an answer was too short for all records. What it left is then
-// read by key: of several versions of a configuration that is one, where the history has
-// them all, and over a thin link new ones may come faster than old ones are read.
-func (r *Replica) noteBehind(behind bool) {
+// setBehind records whether a response was too short for all records. The rest is then loaded by
+// key, which reads only the newest of several versions of a configuration: over a slow link new
+// versions may arrive faster than all old ones can be read.
+func (r *Replica) setBehind(behind bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behind = behind
 }
 
-// longestRead bounds a read whose bytes keep coming: a megabyte, the most that the log
-// sends at once, at a twentieth of a link of 10 Mbit/s.
-const longestRead = 16 * time.Second
+// maxReadTime bounds a read that keeps making progress: a megabyte, the largest response of the
+// log, at a twentieth of a link of 10 Mbit/s.
+const maxReadTime = 16 * time.Second
 
-// load reads the newest record of each key. Its pages are no snapshot, so the
-// copy then follows the log from the end that the first page told.
+// load reads the newest record of each key. Its pages are not one snapshot, so the replica then
+// follows the log from the end that the first page reported.
 func (r *Replica) load(ctx context.Context) error {
 	p := &r.partial
-	if p.after == "" || time.Since(p.began) > partialFor {
+	if p.afterKey == "" || time.Since(p.began) > partialLoadTTL {
 		*p = partialLoad{began: time.Now()}
 	}
 	for {
-		c, cancel := patience.New(ctx, patience.Limits{First: 2 * r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: longestRead})
-		page, err := r.opts.Log.Newest(c, r.opts.Partition, p.after)
+		c, cancel := patience.New(ctx, patience.Limits{First: 2 * r.opts.ReadTimeout, Silence: r.opts.ReadTimeout, Most: maxReadTime})
+		page, err := r.opts.Log.Newest(c, r.opts.Partition, p.afterKey)
 		cancel()
 		if err != nil {
 			return err
 		}
-		if p.after == "" {
+		if p.afterKey == "" {
 			p.end = page.End
 		}
 		p.records = append(p.records, page.Records...)
 		if !page.More || len(page.Records) == 0 {
 			break
 		}
-		p.after = page.Records[len(page.Records)-1].Key
+		p.afterKey = page.Records[len(page.Records)-1].Key
 	}
 	r.replace(p.records, p.end)
 	*p = partialLoad{}
 	return nil
 }
 
-// noteAsked notes the moment that an answer tells of.
-func (r *Replica) noteAsked(at time.Time, err error) {
+// recordRefresh records when a successful step started.
+func (r *Replica) recordRefresh(at time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
-		r.asked = at
+		r.lastRefresh = at
 	}
 }
 
-func (r *Replica) noteContact(age time.Duration, err error) {
+func (r *Replica) recordContact(age time.Duration, err error) {
 	r.mu.Lock()
 	if err == nil {
-		r.contact = time.Now().Add(-age)
+		r.lastContact = time.Now().Add(-age)
 	}
 	changed := r.up != (err == nil) || !r.called
 	r.up, r.called = err == nil, true
@@ -278,7 +276,7 @@
 	}
 }
 
-// End is the offset below which all records are known; 0 before the first.
+// End returns the offset below which all records are known; 0 before the first load.
 func (r *Replica) End() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -288,52 +286,51 @@
 	return r.end
 }
 
-// Loaded says whether the copy has taken over the topic once.
+// Loaded reports whether the replica has been loaded once.
 func (r *Replica) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded
 }
 
-// Up says whether the last call to the log succeeded, and when one last did.
+// Up reports whether the last step succeeded, and the time of the last success.
 func (r *Replica) Up() (up bool, contact time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.up, r.contact
+	return r.up, r.lastContact
 }
 
-// Stale says whether the log has not answered for longer than it should take.
+// Stale reports whether the log has not responded for longer than a long poll should take.
 func (r *Replica) Stale(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.contact) > r.opts.LongPoll+r.opts.MinInterval+staleMargin
+	return now.Sub(r.lastContact) > r.opts.LongPoll+r.opts.MinInterval+staleMargin
 }
 
-// staleMargin is how much longer than a long poll and the pause before it an answer
-// may take.
+// staleMargin is how much longer than a long poll and the pause before it a response may take.
 const staleMargin = 300 * time.Millisecond
 
-// UpdateSince gives the records that changed from an offset on, for another host. ok is
-// false if the copy may have forgotten some of them.
-func (r *Replica) UpdateSince(offset int64) (part Update, ok bool) {
+// UpdateSince returns the records that changed since an offset, for another host. ok is false if
+// tombstones among them may be missing.
+func (r *Replica) UpdateSince(offset int64) (update Update, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	part = Update{End: r.end, Age: time.Since(r.contact)}
+	update = Update{End: r.end, Age: time.Since(r.lastContact)}
 	for _, k := range r.records {
-		if k.changed >= offset {
-			part.Records = append(part.Records, k.Record)
+		if k.changedAt >= offset {
+			update.Records = append(update.Records, k.Record)
 		}
 	}
-	return part, offset == 0 || offset >= r.dropped
+	return update, offset == 0 || offset >= r.tombstoneHorizon
 }
 
-// CatchUpFrom gives what another host lacks that knows all records below an offset: what changed
-// since, or all records if this copy may have forgotten some of the changes.
+// CatchUpFrom returns what a host lacks that knows all records below an offset: the changes since
+// then, or the whole partition if tombstones among the changes may be missing.
 func (r *Replica) CatchUpFrom(offset int64) Update {
-	if part, ok := r.UpdateSince(offset); ok {
-		return part
+	if update, ok := r.UpdateSince(offset); ok {
+		return update
 	}
-	part, _ := r.UpdateSince(0)
-	part.Full = true
-	return part
+	update, _ := r.UpdateSince(0)
+	update.Full = true
+	return update
 }
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -17,9 +17,9 @@
 	"maststage.dev/standin/until"
 )
 
-var part = eventlog.Partition{Topic: "t"}
+var partition = eventlog.Partition{Topic: "t"}
 
-// follower is a replica with a record of its changes.
+// follower is a replica that records its changes.
 type follower struct {
 	*Replica
 	mu      sync.Mutex
@@ -32,7 +32,7 @@
 	log.SetOutput(io.Discard)
 	f := &follower{}
 	f.Replica = New(Options{
-		Log: l.Host(host), Partition: part, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond,
+		Log: l.Host(host), Partition: partition, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond,
 		OnChange: func(c []Change) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -61,7 +61,7 @@
 	return f
 }
 
-// value is the newest value of a key, empty if it was deleted.
+// value returns the newest value of a key, empty if it was deleted.
 func (f *follower) value(key string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,34 +86,34 @@
 	return gaps
 }
 
-func TestFollows(t *testing.T) {
+func TestFollowsTheLog(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "a", []byte("1"))
+	l.Put(partition, "a", []byte("1"))
 	f := follow(t, l, "h")
 	until.True(t, "the first record", func() bool { return f.value("a") == "1" })
-	l.Put(part, "a", []byte("2"))
-	l.Put(part, "b", []byte("3"))
+	l.Put(partition, "a", []byte("2"))
+	l.Put(partition, "b", []byte("3"))
 	until.True(t, "later records", func() bool { return f.value("a") == "2" && f.value("b") == "3" })
-	l.Put(part, "b", nil)
+	l.Put(partition, "b", nil)
 	until.True(t, "a deletion", func() bool { return f.value("b") == "" })
-	is.Equal(f.gaps("a"), []bool{true, false}) // what was read at the start may follow others
+	is.Equal(f.gaps("a"), []bool{true, false}) // the initial load may have skipped earlier records
 	is.Equal(f.End(), int64(4))
 }
 
-func TestTrimmedRecordsAreReadAsNewest(t *testing.T) {
+func TestTrimmedRecordsAreReloaded(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "a", []byte("1"))
-	l.Put(part, "gone", []byte("1"))
+	l.Put(partition, "a", []byte("1"))
+	l.Put(partition, "gone", []byte("1"))
 	f := follow(t, l, "h")
 	until.True(t, "the first record", func() bool { return f.value("gone") == "1" })
 	l.SetFault("h", memlog.Fault{Refuse: true})
-	until.True(t, "the loss is noticed", func() bool { up, _ := f.Up(); return !up })
-	l.Put(part, "a", []byte("2"))
-	l.Put(part, "a", []byte("3"))
-	l.Put(part, "gone", nil)
-	l.Trim(part)
+	until.True(t, "the log is reported unreachable", func() bool { up, _ := f.Up(); return !up })
+	l.Put(partition, "a", []byte("2"))
+	l.Put(partition, "a", []byte("3"))
+	l.Put(partition, "gone", nil)
+	l.Trim(partition)
 	l.SetFault("h", memlog.Fault{})
 	until.True(t, "the newest record", func() bool { return f.value("a") == "3" })
 	until.True(t, "the deletion", func() bool { return f.value("gone") == "" })
@@ -123,30 +123,30 @@
 	is.True(f.lost > 0 && f.found > 1)
 }
 
-func TestMissingLogIsNoticed(t *testing.T) {
+func TestUnreachableLogIsReported(t *testing.T) {
 	for name, fault := range map[string]memlog.Fault{"refused": {Refuse: true}, "silent": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			l := memlog.New()
-			l.Put(part, "a", []byte("1"))
+			l.Put(partition, "a", []byte("1"))
 			l.SetFault("h", fault)
 			f := follow(t, l, "h")
-			until.True(t, "the loss is told", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.lost == 1 })
+			until.True(t, "the loss of the log is reported", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.lost == 1 })
 			l.SetFault("h", memlog.Fault{})
 			until.True(t, "the record", func() bool { return f.value("a") == "1" })
 		})
 	}
 }
 
-func TestTakesOverFromAnotherCopy(t *testing.T) {
+func TestMergesRecordsOfAnotherReplica(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "a", []byte("1"))
-	l.Put(part, "dead", []byte("1"))
+	l.Put(partition, "a", []byte("1"))
+	l.Put(partition, "dead", []byte("1"))
 	l.SetFault("cut", memlog.Fault{Refuse: true})
 	good, cut := follow(t, l, "good"), follow(t, l, "cut")
 	until.True(t, "the record", func() bool { return good.value("a") == "1" })
-	l.Put(part, "a", []byte("2"))
-	l.Put(part, "dead", nil)
+	l.Put(partition, "a", []byte("2"))
+	l.Put(partition, "dead", nil)
 	until.True(t, "the newest record", func() bool { return good.value("a") == "2" && good.End() == 4 })
 	newer, ok := good.UpdateSince(cut.End())
 	is.True(ok)
@@ -155,26 +155,25 @@
 	is.Equal(cut.value("dead"), "")
 	is.Equal(cut.End(), int64(4))
 
-	// An older copy changes nothing.
+	// An older replica changes nothing.
 	cut.MergeNewest([]eventlog.Record{{Key: "a", Value: []byte("old"), Offset: 0}}, 1)
 	is.Equal(cut.value("a"), "2")
 	is.Equal(cut.End(), int64(4))
 
-	// The log goes on where the other copy ended.
+	// Reading the log continues where the other replica ended.
 	l.SetFault("cut", memlog.Fault{})
-	l.Put(part, "a", []byte("3"))
+	l.Put(partition, "a", []byte("3"))
 	until.True(t, "the next record", func() bool { return cut.value("a") == "3" })
 }
 
-// A record that means the same as the one before is told to nobody: not here, and not
-// to other hosts.
-func TestHeartbeatsAreNoChanges(t *testing.T) {
+// A record with the same DedupKey as its predecessor is not reported, neither here nor to other hosts.
+func TestHeartbeatsAreNotReportedAsChanges(t *testing.T) {
 	is := is.New(t)
-	var told []string
+	var reported []string
 	r := New(Options{
 		OnChange: func(changes []Change) {
 			for _, c := range changes {
-				told = append(told, string(c.Record.Value))
+				reported = append(reported, string(c.Record.Value))
 			}
 		},
 		DedupKey: func(rec eventlog.Record) any {
@@ -191,28 +190,27 @@
 	put(1, "a2")
 	put(2, "b3")
 	put(3, "b4")
-	is.Equal(told, []string{"a1", "b3"})
+	is.Equal(reported, []string{"a1", "b3"})
 	since := func(offset int64) int {
 		part, _ := r.UpdateSince(offset)
 		is.Equal(part.End, int64(4))
 		return len(part.Records)
 	}
-	is.Equal(since(2), 1) // b3 came behind it
+	is.Equal(since(2), 1) // b3 has offset 2
 	is.Equal(since(3), 0)
 	put(4, "")
 	put(5, "b6") // listed again
-	is.Equal(told, []string{"a1", "b3", "", "b6"})
+	is.Equal(reported, []string{"a1", "b3", "", "b6"})
 }
 
-// A copy that asks another host leaves the log alone, and reads it when no host can
-// tell.
-func TestRelay(t *testing.T) {
+// A replica does not read the log if its relay responds, and reads it if the relay does not.
+func TestRelayReplacesReadsOfTheLog(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "k", []byte("1"))
+	l.Put(partition, "k", []byte("1"))
 	relay := true
 	r := New(Options{
-		Log: l.Host("h"), Partition: part, ReadTimeout: time.Second,
+		Log: l.Host("h"), Partition: partition, ReadTimeout: time.Second,
 		Relay: func(_ context.Context, from int64) (Update, bool) {
 			is.Equal(from, int64(1))
 			records := []eventlog.Record{{Key: "k", Value: []byte("2"), Offset: 1}}
@@ -220,7 +218,7 @@
 		},
 	})
 	ctx := context.Background()
-	_, err := r.step(ctx) // the first call loads all
+	_, err := r.step(ctx) // the first step loads all records
 	is.NoErr(err)
 	_, before := l.Calls()
 	age, err := r.step(ctx)
@@ -232,14 +230,14 @@
 	is.Equal(string(r.records["k"].Value), "2")
 
 	r.opts.Relay = func(context.Context, int64) (Update, bool) { return Update{}, false }
-	l.Put(part, "k", []byte("2"))
-	l.Put(part, "k", []byte("3"))
+	l.Put(partition, "k", []byte("2"))
+	l.Put(partition, "k", []byte("3"))
 	_, err = r.step(ctx)
 	is.NoErr(err)
 	is.Equal(r.End(), int64(3))
 }
 
-// busyPages is a log of many pages of which every third is refused.
+// busyPages is a log of many pages that refuses every third call.
 type busyPages struct {
 	eventlog.Log
 	pages, calls int
@@ -259,12 +257,12 @@
 	return eventlog.Page{Records: []eventlog.Record{rec}, More: at < l.pages-1, End: int64(l.pages)}, nil
 }
 
-// A large fleet starts at once and the log refuses one call in three: a copy of twenty pages was
-// begun anew after each refusal and never came to its end.
-func TestLoadGoesOnAfterARefusedPage(t *testing.T) {
+// Guards against loads that never complete: when a large fleet starts at once, the log may refuse one
+// call in three, and a load of twenty pages that starts over at each refusal does not end.
+func TestLoadResumesAfterARefusedPage(t *testing.T) {
 	is := is.New(t)
 	l := &busyPages{pages: 20}
-	r := New(Options{Log: l, Partition: part, ReadTimeout: time.Second})
+	r := New(Options{Log: l, Partition: partition, ReadTimeout: time.Second})
 	for tries := 0; !r.Loaded() && tries < 15; tries++ {
 		_, _ = r.step(t.Context())
 	}
@@ -273,26 +271,26 @@
 	is.True(l.calls <= 20*3/2)
 }
 
-// The pauses of all hosts together leave the log room.
-func TestPausesGrowWithTheFleet(t *testing.T) {
+// The maximum backoff grows with the fleet so that retries of all hosts do not overload the log.
+func TestBackoffGrowsWithTheFleet(t *testing.T) {
 	is := is.New(t)
-	is.Equal(New(Options{}).mostBackoff(), maxBackoff)
-	is.Equal(New(Options{Hosts: func() int { return 90 }}).mostBackoff(), maxBackoff)
-	is.Equal(New(Options{Hosts: func() int { return 2000 }}).mostBackoff(), 4*time.Second)
+	is.Equal(New(Options{}).backoffLimit(), maxBackoff)
+	is.Equal(New(Options{Hosts: func() int { return 90 }}).backoffLimit(), maxBackoff)
+	is.Equal(New(Options{Hosts: func() int { return 2000 }}).backoffLimit(), 4*time.Second)
 }
 
-// The age of a copy is that of the log's answer that it rests on, however many hosts
-// handed it on.
-func TestAgeOfARelayedCopy(t *testing.T) {
+// The age of an update is that of the log's response that it is based on, however many hosts relayed
+// it.
+func TestRelayedUpdateKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{})
-	r.noteContact(time.Minute, nil)
+	r.recordContact(time.Minute, nil)
 	part, _ := r.UpdateSince(0)
 	is.True(part.Age >= time.Minute)
 	is.True(r.Stale(time.Now()))
 }
 
-// shortAnswers is a log that sends one record in an answer, and counts those that it sent.
+// shortAnswers is a log that sends at most one record per response, and counts the records sent.
 type shortAnswers struct {
 	eventlog.Log
 	sent atomic.Int64
@@ -305,16 +303,16 @@
 	return batch, err
 }
 
-// A copy that is many versions behind does not read them all.
-func TestFarBehindReadsTheNewest(t *testing.T) {
+// A replica that is many versions behind reads only the newest.
+func TestLaggingReplicaReadsOnlyNewestRecords(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "a", []byte("0"))
+	l.Put(partition, "a", []byte("0"))
 	short := &shortAnswers{Log: l.Host("h")}
-	r := New(Options{Log: short, Partition: part, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond})
+	r := New(Options{Log: short, Partition: partition, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond})
 	is.NoErr(r.load(t.Context()))
 	for i := range 100 {
-		l.Put(part, "a", []byte(fmt.Sprint(i)))
+		l.Put(partition, "a", []byte(fmt.Sprint(i)))
 	}
 	for r.End() < 101 {
 		_, err := r.step(t.Context())
@@ -324,16 +322,16 @@
 	known, _ := r.UpdateSince(0)
 	is.Equal(string(known.Records[0].Value), "99")
 
-	// It follows the log again.
-	l.Put(part, "a", []byte("next"))
+	// It then follows the log again.
+	l.Put(partition, "a", []byte("next"))
 	_, err := r.step(t.Context())
 	is.NoErr(err)
 	is.Equal(short.sent.Load(), int64(2))
 	is.Equal(r.End(), int64(102))
 }
 
-// A copy that has forgotten deleted keys does not tell from before that.
-func TestSinceBeforeWhatWasForgotten(t *testing.T) {
+// A replica that dropped tombstones reports an update from below them as incomplete.
+func TestUpdateSinceIsIncompleteBelowTombstoneHorizon(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{})
 	for i := range int64(maxTombstones + 1) {
@@ -342,23 +340,23 @@
 	_, ok := r.UpdateSince(1)
 	is.True(!ok)
 	_, ok = r.UpdateSince(0)
-	is.True(ok) // who has nothing misses no deleted key
+	is.True(ok) // an empty replica needs no tombstones
 	_, ok = r.UpdateSince(r.End())
 	is.True(ok)
 }
 
-// What another host's older copy still has and the log had deleted before this copy read it
-// does not come back: a host that starts asks the log and other hosts at the same time.
-func TestDeletedRecordsDoNotComeBackFromOthers(t *testing.T) {
+// Guards against deleted records coming back from another host's older replica, when the log deleted
+// them before this replica loaded: a starting host asks the log and other hosts at the same time.
+func TestDeletedRecordsAreNotRestoredByOtherReplicas(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "gone", []byte("1"))
-	l.Put(part, "kept", []byte("1"))
+	l.Put(partition, "gone", []byte("1"))
+	l.Put(partition, "kept", []byte("1"))
 	other := follow(t, l, "other")
-	until.True(t, "the other copy has both", func() bool { return other.End() == 2 })
+	until.True(t, "the other replica has both", func() bool { return other.End() == 2 })
 	old, ok := other.UpdateSince(0)
 	is.True(ok)
-	l.Put(part, "gone", nil)
+	l.Put(partition, "gone", nil)
 	f := follow(t, l, "f")
 	until.True(t, "the log is read", func() bool { return f.End() == 3 })
 	f.MergeNewest(old.Records, old.End)
@@ -370,20 +368,20 @@
 	is.Equal(f.End(), int64(3))
 }
 
-// A copy that was read whole after a key was deleted has no tombstone of it. It must not tell a
-// host that knows the key what changed as if that were all: the host would keep the key for ever.
-func TestCopyReadWholeTellsOfEarlierDeletions(t *testing.T) {
+// A replica that was loaded after a key was deleted has no tombstone for it. Guards against it sending
+// only its changes to a host that still knows the key, which would then keep the key for ever.
+func TestFullUpdateReportsEarlierDeletions(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "gone", []byte("1"))
-	l.Put(part, "kept", []byte("1"))
+	l.Put(partition, "gone", []byte("1"))
+	l.Put(partition, "kept", []byte("1"))
 	older := follow(t, l, "older")
-	until.True(t, "the older copy has both", func() bool { return older.End() == 2 })
+	until.True(t, "the older replica has both", func() bool { return older.End() == 2 })
 	l.SetFault("older", memlog.Fault{Refuse: true})
-	l.Put(part, "new", []byte("1"))
-	l.Put(part, "gone", nil)
+	l.Put(partition, "new", []byte("1"))
+	l.Put(partition, "gone", nil)
 	fresh := follow(t, l, "fresh")
-	until.True(t, "the fresh copy is read", func() bool { return fresh.End() == 4 })
+	until.True(t, "the fresh replica is loaded", func() bool { return fresh.End() == 4 })
 	_, ok := fresh.UpdateSince(2)
 	is.True(!ok)
 	older.MergeUpdate(fresh.CatchUpFrom(2))
@@ -396,12 +394,12 @@
 	is.True(last.Record.Key == "gone" || last.Record.Key == "new")
 }
 
-// A copy that is to be refreshed asks at once, also where it rests between two questions.
-func TestRefreshEndsThePause(t *testing.T) {
+// Refresh starts a read at once, also while the replica pauses between two reads.
+func TestRefreshEndsThePauseBetweenReads(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
-	l.Put(part, "k", []byte("1"))
-	r := New(Options{Log: l.Host("h"), Partition: part, LongPoll: 10 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, MinInterval: time.Minute})
+	l.Put(partition, "k", []byte("1"))
+	r := New(Options{Log: l.Host("h"), Partition: partition, LongPoll: 10 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, MinInterval: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -412,10 +410,10 @@
 		cancel()
 		<-done
 	})
-	until.True(t, "it has asked once", r.Loaded)
-	time.Sleep(50 * time.Millisecond) // it rests
+	until.True(t, "the first read", r.Loaded)
+	time.Sleep(50 * time.Millisecond) // the replica is pausing now
 	began := time.Now()
 	r.Refresh()
-	until.True(t, "it has asked again", func() bool { return r.RefreshedSince(began) })
+	until.True(t, "the second read", func() bool { return r.RefreshedSince(began) })
 	is.True(time.Since(began) < time.Second)
 }
