--- a/router/httpconn/conn.go
+++ b/router/httpconn/conn.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Conn is a connection that carries one request at a time. It is not safe for
-// concurrent use, but for Close.
+// Conn is a connection that carries one request at a time. It is not safe for concurrent use,
+// except for Close and Abort.
 type Conn struct {
 	pool   *Pool
 	nc     net.Conn
@@ -25,29 +25,28 @@
 
 	idleSince time.Time
 	idleUntil time.Time
-	keepFor   time.Duration // what the target said of idle connections
+	keepAlive time.Duration // idle time that the target offered; 0: none
 
-	closed  atomic.Bool
-	spoiled bool          // must not carry another request
-	written chan error    // the write of the present request
-	stop    func() bool   // ends the watch of the context
-	request *http.Request // what the answer's framing depends on
+	closed    atomic.Bool
+	noReuse   bool          // the connection must not be reused
+	written   chan error    // result of writing the current request
+	stopWatch func() bool   // stops watching the context
+	request   *http.Request // the framing of the response depends on its method
 }
 
-// Reused says whether the connection carried a request before.
+// Reused reports whether the connection carried an earlier request.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Request is what is sent. Head holds the request line, all headers and the
-// empty line.
+// Request is a request to send. Head holds the request line, all headers and the empty line.
 type Request struct {
 	Method string
 	Head   []byte
 	Body   []byte
 }
 
-// Error is why an exchange brought no answer.
+// Error is why a request got no response.
 type Error struct {
-	// MaybeSent means that the target may have got the request.
+	// MaybeSent means that the target may have received the request.
 	MaybeSent bool
 	Err       error
 }
@@ -59,26 +58,26 @@
 	return fmt.Sprintf("before sending: %v", f.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Error) Unwrap() error { return f.Err }
 
-// inlineBody is the size of a request in bytes up to which it is written before
-// the answer is read; a longer one is written beside, since a target may answer early.
-const inlineBody = 4096
+// inlineRequestBytes is the largest request that is written before the response is read. A longer
+// one is written in the background, since a target may respond early.
+const inlineRequestBytes = 4096
 
-// aLongTimeAgo is a deadline that ends all reads and writes at once.
+// aLongTimeAgo is a deadline that fails all reads and writes at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// Send writes the request and starts watching ctx: when it ends, so does all
-// that is under way on the connection.
+// Send writes the request and starts watching ctx, whose end aborts all reads and writes of the
+// connection.
 func (c *Conn) Send(ctx context.Context, req Request) *Error {
-	c.stop = context.AfterFunc(ctx, c.Abort)
+	c.stopWatch = context.AfterFunc(ctx, c.Abort)
 	c.request = &http.Request{Method: req.Method}
 	c.written = make(chan error, 1)
-	if len(req.Head)+len(req.Body) <= inlineBody {
+	if len(req.Head)+len(req.Body) <= inlineRequestBytes {
 		return c.sendInline(req)
 	}
-	go c.sendBeside(req)
+	go c.sendInBackground(req)
 	return nil
 }
 
@@ -87,28 +86,28 @@
 	n, err := c.nc.Write(data)
 	c.written <- err
 	if err != nil {
-		c.spoiled = true
+		c.noReuse = true
 		return &Error{MaybeSent: n > 0, Err: err}
 	}
 	return nil
 }
 
-func (c *Conn) sendBeside(req Request) {
+func (c *Conn) sendInBackground(req Request) {
 	buffers := net.Buffers{req.Head, req.Body}
 	_, err := buffers.WriteTo(c.nc)
 	c.written <- err
 }
 
-// maxInterim bounds the 1xx answers before the answer.
-const maxInterim = 8
+// maxInterimResponses bounds the 1xx responses before the final one.
+const maxInterimResponses = 8
 
-// Receive reads the head of the next answer. Its body must be read to the end or
-// the connection closed.
+// Receive reads the head of the final response. The caller must read its body to the end or close
+// the connection.
 func (c *Conn) Receive() (*http.Response, *Error) {
-	for range maxInterim {
+	for range maxInterimResponses {
 		resp, err := http.ReadResponse(c.reader, c.request)
 		if err != nil {
-			c.spoiled = true
+			c.noReuse = true
 			return nil, &Error{MaybeSent: true, Err: err}
 		}
 		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
@@ -116,14 +115,14 @@
 			return resp, nil
 		}
 	}
-	c.spoiled = true
-	return nil, &Error{MaybeSent: true, Err: errors.New("too many interim answers")}
+	c.noReuse = true
+	return nil, &Error{MaybeSent: true, Err: errors.New("too many interim (1xx) responses")}
 }
 
-// noteKeepAlive takes in what the answer says of the connection's further use.
+// noteKeepAlive applies what the response says about reuse of the connection.
 func (c *Conn) noteKeepAlive(resp *http.Response) {
 	if resp.Close || resp.StatusCode == http.StatusSwitchingProtocols {
-		c.spoiled = true
+		c.noReuse = true
 	}
 	for part := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		seconds, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -131,33 +130,32 @@
 			continue
 		}
 		if n, err := strconv.Atoi(seconds); err == nil {
-			// The target counts from when it sent, so half a second is kept free.
-			c.keepFor = max(time.Duration(n)*time.Second-500*time.Millisecond, time.Millisecond)
+			// The target counts from when it sent the response, hence half a second less.
+			c.keepAlive = max(time.Duration(n)*time.Second-500*time.Millisecond, time.Millisecond)
 		}
 	}
 }
 
-// Abort ends all that is under way on the connection at once. It may be called
-// from another goroutine.
+// Abort fails all reads and writes of the connection at once. It may be called from another goroutine.
 func (c *Conn) Abort() { _ = c.nc.SetDeadline(aLongTimeAgo) }
 
-// DisableReuse keeps the connection from being used again.
-func (c *Conn) DisableReuse() { c.spoiled = true }
+// DisableReuse keeps the connection from being used for another request.
+func (c *Conn) DisableReuse() { c.noReuse = true }
 
-// Finish ends the exchange. whole says that the answer was read to its end; only
-// then, and if nothing else speaks against it, the connection is used again.
-func (c *Conn) Finish(whole bool) {
-	stopped := c.stop == nil || c.stop()
-	if !whole || !stopped || c.spoiled || !c.writeDone() || c.reader.Buffered() > 0 {
+// Finish ends the request. complete means that the response was read to its end; otherwise, or if
+// anything else prevents reuse, the connection is closed.
+func (c *Conn) Finish(complete bool) {
+	stopped := c.stopWatch == nil || c.stopWatch()
+	if !complete || !stopped || c.noReuse || !c.writeDone() || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
 	_ = c.nc.SetDeadline(time.Time{})
-	c.pool.put(c)
+	c.pool.putIdle(c)
 }
 
-// writeDone says whether the request was written without an error. An answer
-// before the end of the request leaves the rest of its body due.
+// writeDone reports whether the request was written without an error. After an early response the
+// body may still be incomplete.
 func (c *Conn) writeDone() bool {
 	select {
 	case err := <-c.written:
@@ -167,18 +165,17 @@
 	}
 }
 
-// Close closes the connection at once. What the target still works on is
-// cancelled by it.
+// Close closes the connection at once, which cancels the request if the target still works on it.
 func (c *Conn) Close() {
 	if c.closed.Swap(true) {
 		return
 	}
 	_ = c.nc.Close()
-	c.pool.forget()
+	c.pool.countClosed()
 }
 
-// quiet says whether the idle connection is open and has nothing to read.
-func (c *Conn) quiet() bool {
+// openAndIdle reports whether the connection is open and has nothing to read.
+func (c *Conn) openAndIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -196,8 +193,8 @@
 	return err == nil && quiet
 }
 
-// ReadLimited reads a body to its end, at most limit bytes. ok is false if it is
-// longer; what was read is then the beginning.
+// ReadLimited reads a body of at most limit bytes. ok is false if it is longer; data then is its
+// beginning.
 func ReadLimited(body io.Reader, limit int64) (data []byte, ok bool, err error) {
 	data, err = io.ReadAll(io.LimitReader(body, limit+1))
 	if int64(len(data)) > limit {
--- a/router/httpconn/pool.go
+++ b/router/httpconn/pool.go
@@ -1,6 +1,6 @@
-// Package exchange sends one HTTP/1.1 request on one connection to a target and
-// reads its answer. It keeps idle connections for reuse. It never repeats a
-// request by itself and says of each failure whether the target may have got it.
+// Package httpconn sends one HTTP/1.1 request at a time on a connection to a target and reads the
+// response. It pools idle connections. It never retries a request, and reports with each error
+// whether the target may have received the request.
 package httpconn
 
 import (
@@ -15,19 +15,19 @@
 
 // Errors of Get. The request was not sent.
 var (
-	// ErrConnLimit means that the pool has as many connections as it may have.
-	ErrConnLimit = errors.New("exchange: connection limit reached")
+	// ErrConnLimit means that the pool has reached its limit of connections.
+	ErrConnLimit = errors.New("httpconn: connection limit reached")
 	// ErrClosed means that the pool is closed.
-	ErrClosed = errors.New("exchange: pool is closed")
+	ErrClosed = errors.New("httpconn: pool is closed")
 )
 
 // Options configure a Pool.
 type Options struct {
 	Address     string        // IP:port
 	DialTimeout time.Duration // for a new connection
-	IdleTimeout time.Duration // an idle connection is kept so long unless the target says less
+	IdleTimeout time.Duration // how long an idle connection is kept; the target may shorten it
 	MaxIdle     int
-	// TCPUserTimeout is how long sent bytes may stay without acknowledgement.
+	// TCPUserTimeout is how long sent bytes may stay unacknowledged before the connection fails.
 	TCPUserTimeout time.Duration
 	// OnDial is called for each new connection.
 	OnDial func()
@@ -39,19 +39,19 @@
 	dialer net.Dialer
 
 	mu     sync.Mutex
-	idle   []*Conn // the newest last
+	idle   []*Conn // most recently used last
 	open   int
 	limit  int
 	closed bool
 }
 
-// keepAliveProbe is the pause before and between the probes of a quiet connection.
+// keepAliveProbe is the interval of TCP keep-alive probes on a silent connection.
 const (
 	keepAliveProbe = time.Second
 	keepAliveCount = 4
 )
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(opts Options) *Pool {
 	p := &Pool{opts: opts}
 	p.dialer = net.Dialer{
@@ -63,15 +63,14 @@
 	return p
 }
 
-// SetLimit bounds the open connections; 0: no limit.
+// SetLimit bounds the open connections, idle ones included; 0 means no limit.
 func (p *Pool) SetLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = n
 }
 
-// Get takes an idle connection that has rested for at most maxRest, or makes a
-// new one.
+// Get returns an idle connection that was unused for at most maxRest, or dials a new one.
 func (p *Pool) Get(ctx context.Context, maxRest time.Duration) (*Conn, error) {
 	now := time.Now()
 	for {
@@ -82,7 +81,7 @@
 		if c == nil {
 			break
 		}
-		if now.Sub(c.idleSince) > maxRest || now.After(c.idleUntil) || !c.quiet() {
+		if now.Sub(c.idleSince) > maxRest || now.After(c.idleUntil) || !c.openAndIdle() {
 			c.Close()
 			continue
 		}
@@ -120,37 +119,37 @@
 	p.mu.Unlock()
 	nc, err := p.dialer.DialContext(ctx, "tcp", p.opts.Address)
 	if err != nil {
-		p.forget()
+		p.countClosed()
 		return nil, err
 	}
 	if p.opts.OnDial != nil {
 		p.opts.OnDial()
 	}
 	setUserTimeout(nc, p.opts.TCPUserTimeout)
-	return &Conn{pool: p, nc: nc, reader: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &Conn{pool: p, nc: nc, reader: bufio.NewReaderSize(nc, readBufferBytes)}, nil
 }
 
-// Probe makes a new connection, which is kept for a request, and tells why that failed.
+// Probe dials a new connection and keeps it for a later request, or returns why that failed.
 func (p *Pool) Probe(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err != nil {
 		return err
 	}
-	p.put(c)
+	p.putIdle(c)
 	return nil
 }
 
-// readBuffer is the size of a connection's read buffer in bytes.
-const readBuffer = 2048
+// readBufferBytes is the size of the read buffer of a connection in bytes.
+const readBufferBytes = 2048
 
-func (p *Pool) forget() {
+func (p *Pool) countClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// put keeps a connection for reuse.
-func (p *Pool) put(c *Conn) {
+// putIdle keeps a connection for reuse, or closes it if the pool is closed or full.
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	if p.closed || len(p.idle) >= p.opts.MaxIdle {
 		p.mu.Unlock()
@@ -160,14 +159,14 @@
 	now := time.Now()
 	c.idleSince = now
 	c.idleUntil = now.Add(p.opts.IdleTimeout)
-	if c.keepFor > 0 {
-		c.idleUntil = now.Add(min(p.opts.IdleTimeout, c.keepFor))
+	if c.keepAlive > 0 {
+		c.idleUntil = now.Add(min(p.opts.IdleTimeout, c.keepAlive))
 	}
 	p.idle = append(p.idle, c)
 	p.mu.Unlock()
 }
 
-// CloseExpired closes idle connections whose time is over.
+// CloseExpired closes idle connections whose idle time has run out.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var kept, old []*Conn
@@ -185,21 +184,21 @@
 	}
 }
 
-// OpenConns counts the connections, idle or not.
+// OpenConns returns the number of connections, idle or in use.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Reopen lets a closed pool make connections again.
+// Reopen lets a closed pool dial connections again.
 func (p *Pool) Reopen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = false
 }
 
-// Close closes the idle connections and keeps no more.
+// Close closes the idle connections; connections still in use are closed when they finish.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -207,7 +206,7 @@
 	p.CloseIdle()
 }
 
-// CloseIdle closes the idle connections: one of the same age went silent.
+// CloseIdle closes the idle connections, for use when one of the same age went silent.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -226,7 +225,7 @@
 	if !ok || d <= 0 {
 		return
 	}
-	// Without the option, dead peers are found by the keep-alive probes alone.
+	// Without the option, only keep-alive probes detect dead peers.
 	_ = raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 	})
