--- a/router/recordpack/recordpack.go
+++ b/router/recordpack/recordpack.go
@@ -1,6 +1,6 @@
-// Package recordpack packs records of the log for other hosts and for copies. Large packs
-// are deflated: configurations are mostly the same words again, and shrink to a fifth or
-// less, which is what a thin link or a bounded record has room for.
+// Package recordpack encodes records of the log for transfer between hosts and for snapshots. Large
+// packs are compressed with DEFLATE: configurations are highly repetitive and shrink to a fifth
+// or less, so that they fit a slow link or a bounded record.
 package recordpack
 
 import (
@@ -16,39 +16,39 @@
 	"maststage.dev/router/eventlog"
 )
 
-// Forms of a pack, its first byte.
+// Formats of a pack, given by its first byte.
 const (
-	formPlain    = 0
-	formDeflated = 1
+	formatPlain    = 0
+	formatDeflated = 1
 )
 
 const (
-	// deflateFrom is the size in bytes above which a pack is deflated. Smaller ones fit into
-	// a few packets, and a compressor takes some 800 KB.
-	deflateFrom = 4 << 10
-	// maxField bounds a key or value in bytes; the log takes no larger record.
-	maxField = 8 << 20
+	// minCompressBytes is the size from which a pack is compressed. Smaller ones fit into a few
+	// packets, and a compressor takes some 800 KB.
+	minCompressBytes = 4 << 10
+	// maxFieldBytes bounds a key or value; the log accepts no larger record.
+	maxFieldBytes = 8 << 20
 )
 
-// compressors are kept between packs, while memory is not short.
+// compressors keeps compressors between packs, until the garbage collector needs the memory.
 var compressors = sync.Pool{New: func() any {
-	// The level is a valid one, the only error there is.
+	// NewWriter fails only for an invalid level.
 	w, _ := flate.NewWriter(io.Discard, flate.BestSpeed)
 	return w
 }}
 
-// Pack packs records.
+// Pack encodes records.
 func Pack(records []eventlog.Record) ([]byte, error) {
-	plain := []byte{formPlain}
+	plain := []byte{formatPlain}
 	for _, r := range records {
 		plain = appendField(plain, []byte(r.Key))
 		plain = appendField(plain, r.Value)
 		plain = binary.AppendUvarint(plain, uint64(r.Offset))
 	}
-	if len(plain) < deflateFrom {
+	if len(plain) < minCompressBytes {
 		return plain, nil
 	}
-	packed := bytes.NewBuffer([]byte{formDeflated})
+	packed := bytes.NewBuffer([]byte{formatDeflated})
 	w := compressors.Get().(*flate.Writer)
 	defer compressors.Put(w)
 	w.Reset(packed)
@@ -66,18 +66,18 @@
 	return append(to, field...)
 }
 
-// Unpack gives the records of a pack.
+// Unpack decodes the records of a pack.
 func Unpack(pack []byte) ([]eventlog.Record, error) {
 	if len(pack) == 0 {
-		return nil, errors.New("an empty pack of records")
+		return nil, errors.New("empty pack of records")
 	}
 	var from io.Reader = bytes.NewReader(pack[1:])
 	switch pack[0] {
-	case formPlain:
-	case formDeflated:
+	case formatPlain:
+	case formatDeflated:
 		from = flate.NewReader(from)
 	default:
-		return nil, fmt.Errorf("a pack of records of the unknown form %d", pack[0])
+		return nil, fmt.Errorf("pack of records has unknown format %d", pack[0])
 	}
 	in := bufio.NewReader(from)
 	var records []eventlog.Record
@@ -87,13 +87,13 @@
 			return records, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("record %d of a pack: %w", len(records), err)
+			return nil, fmt.Errorf("decode record %d of a pack: %w", len(records), err)
 		}
 		records = append(records, r)
 	}
 }
 
-// readRecord reads one record; io.EOF means that there is none.
+// readRecord reads one record. It returns io.EOF at the end of the pack.
 func readRecord(in *bufio.Reader) (eventlog.Record, error) {
 	if _, err := in.Peek(1); err != nil {
 		return eventlog.Record{}, err
@@ -108,7 +108,7 @@
 	}
 	offset, err := binary.ReadUvarint(in)
 	if err != nil {
-		return eventlog.Record{}, cut(err)
+		return eventlog.Record{}, unexpectedEOF(err)
 	}
 	return eventlog.Record{Key: string(key), Value: value, Offset: int64(offset)}, nil
 }
@@ -116,23 +116,23 @@
 func readField(in *bufio.Reader) ([]byte, error) {
 	n, err := binary.ReadUvarint(in)
 	if err != nil {
-		return nil, cut(err)
+		return nil, unexpectedEOF(err)
 	}
-	if n > maxField {
-		return nil, fmt.Errorf("a field of %d bytes", n)
+	if n > maxFieldBytes {
+		return nil, fmt.Errorf("field of %d bytes exceeds the limit", n)
 	}
 	if n == 0 {
 		return nil, nil
 	}
 	field := make([]byte, n)
 	if _, err := io.ReadFull(in, field); err != nil {
-		return nil, cut(err)
+		return nil, unexpectedEOF(err)
 	}
 	return field, nil
 }
 
-// cut tells a pack that ends within a record from one that ends behind it.
-func cut(err error) error {
+// unexpectedEOF marks an EOF within a record, as opposed to one after the last record.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/router/recordpack/recordpack_test.go
+++ b/router/recordpack/recordpack_test.go
@@ -10,8 +10,8 @@
 	"maststage.dev/standin/bigconfig"
 )
 
-// many are records whose pack is deflated.
-func many() []eventlog.Record {
+// manyRecords returns enough records for a compressed pack.
+func manyRecords() []eventlog.Record {
 	var records []eventlog.Record
 	for i := range 500 {
 		records = append(records, eventlog.Record{Key: fmt.Sprintf("key %d", i), Value: []byte{0, 255, byte(i)}, Offset: int64(i) << 33})
@@ -19,12 +19,12 @@
 	return records
 }
 
-func TestUnpacksWhatWasPacked(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	for name, records := range map[string][]eventlog.Record{
 		"none":    nil,
 		"deleted": {{Key: "a", Offset: 7}},
 		"small":   {{Key: "a", Value: []byte("1"), Offset: 7}, {Key: "", Value: []byte("2"), Offset: 0}},
-		"many":    many(),
+		"many":    manyRecords(),
 		"large":   {{Key: "config", Value: bigconfig.Routes(1770, 1), Offset: 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -46,17 +46,17 @@
 	is.True(len(pack) < len(value)/4)
 }
 
-func TestBadPacks(t *testing.T) {
+func TestMalformedPacksAreRejected(t *testing.T) {
 	whole, err := Pack([]eventlog.Record{{Key: "key", Value: []byte("value"), Offset: 300}})
 	is.New(t).NoErr(err)
 	bad := map[string][]byte{
-		"empty":        nil,
-		"unknown form": {9},
-		"huge field":   {formPlain, 0xff, 0xff, 0xff, 0xff, 0x7f},
-		"not deflated": {formDeflated, 1, 2, 3},
+		"empty":          nil,
+		"unknown format": {9},
+		"huge field":     {formatPlain, 0xff, 0xff, 0xff, 0xff, 0x7f},
+		"not deflated":   {formatDeflated, 1, 2, 3},
 	}
 	for end := 2; end < len(whole); end++ {
-		bad[fmt.Sprintf("cut at %d", end)] = whole[:end]
+		bad[fmt.Sprintf("truncated at %d", end)] = whole[:end]
 	}
 	for name, pack := range bad {
 		t.Run(name, func(t *testing.T) {
