--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -1,6 +1,6 @@
-// Package archive keeps a second copy of the topics that a host needs to start, in
-// a topic of the product's own. The log may be out of reach in part: a host that
-// starts then, with no other host to ask, takes the copy. A copy is old, not wrong.
+// Package archive keeps snapshots of the topics that a host needs to start, in a topic of its own. The
+// log may be partly unreachable: a host that starts then and has no other host to ask loads the
+// snapshots. A snapshot may be out of date, never wrong.
 package archive
 
 import (
@@ -25,27 +25,27 @@
 	Log            eventlog.Log
 	Topic          string
 	Replicas       map[string]*replica.Replica // by topic
-	WriteInterval  time.Duration               // between two copies of a topic
-	FallbackDelay  time.Duration               // a start waits so long for the topics themselves
-	CallTimeout    time.Duration               // of a call, to its first bytes and between them
-	MaxRecordBytes int                         // of a copy
-	// Partitions is how many partitions of the topic hold the same copies, since the
-	// log may be out of reach by partitions.
+	WriteInterval  time.Duration               // between two snapshots of a topic
+	FallbackDelay  time.Duration               // wait for the topics themselves before snapshots are loaded
+	CallTimeout    time.Duration               // until the first bytes of a response, and between bytes
+	MaxRecordBytes int                         // bound on the record of a snapshot
+	// Partitions is how many partitions of the topic hold the same snapshots, since single partitions
+	// may be unreachable.
 	Partitions int
-	// IsWriter says whether this host is the one that writes copies.
+	// IsWriter reports whether this host is the one that writes snapshots.
 	IsWriter func() bool
 }
 
-// Archive writes copies, and reads them at a start.
+// Archive writes snapshots, and loads them at the start of a host.
 type Archive struct {
 	opts    Options
-	written map[string]int64 // end of the last copy of a topic that this host wrote
+	written map[string]int64 // end offset of the last snapshot that this host wrote, by topic
 }
 
-// New makes an archive; Run serves it.
+// New returns an archive; Run operates it.
 func New(opts Options) *Archive { return &Archive{opts: opts, written: map[string]int64{}} }
 
-// snapshot is the value of a copy's record.
+// snapshot is the value of a record that holds a snapshot.
 type snapshot struct {
 	End    int64  `json:"end"`
 	Packed []byte `json:"packed"` // the newest record of each key, by recordpack
@@ -55,13 +55,13 @@
 	return eventlog.Partition{Topic: a.opts.Topic, Number: number}
 }
 
-// Run reads the copies if the topics can't be read at the start, and then writes
-// copies, until ctx ends.
+// Run loads the snapshots if the topics can't be read at the start, and then writes snapshots until
+// ctx ends.
 func (a *Archive) Run(ctx context.Context) {
 	wait.For(ctx, a.opts.FallbackDelay)
-	for pause := a.opts.FallbackDelay; ctx.Err() == nil && len(a.missing()) > 0; pause = min(2*pause, mostPause) {
+	for pause := a.opts.FallbackDelay; ctx.Err() == nil && len(a.unloadedTopics()) > 0; pause = min(2*pause, maxLoadDelay) {
 		if err := a.load(ctx); err != nil {
-			log.WithError(err).Debug("copies of topics can't be read")
+			log.WithError(err).Debug("cannot load snapshots of topics")
 		}
 		wait.For(ctx, wait.Jitter(pause))
 	}
@@ -73,12 +73,12 @@
 	}
 }
 
-// mostPause is the longest pause between two tries to read the copies: each reads all of them, at a
-// log that may be busy with just that.
-const mostPause = 3 * time.Second
+// maxLoadDelay is the maximum pause between two attempts to load the snapshots: each attempt reads all
+// of them from a log that may be overloaded by such reads.
+const maxLoadDelay = 3 * time.Second
 
-// missing lists the topics that this host has nothing of.
-func (a *Archive) missing() []string {
+// unloadedTopics lists the topics that this host has not loaded.
+func (a *Archive) unloadedTopics() []string {
 	var topics []string
 	for topic, c := range a.opts.Replicas {
 		if !c.Loaded() {
@@ -88,11 +88,11 @@
 	return topics
 }
 
-// longestLoad bounds the reading of copies whose bytes keep coming.
-const longestLoad = 10 * time.Second
+// maxLoadTime bounds a load that keeps making progress.
+const maxLoadTime = 10 * time.Second
 
-// load takes the copies of missing topics from the partitions that answer. Once nothing is
-// missing it leaves the others: they hold the same, and cost the link as much again.
+// load restores unloaded topics from the partitions that respond. Once none is left it cancels the
+// other reads, which return the same and would use as much of the link again.
 func (a *Archive) load(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -101,7 +101,7 @@
 	for i := range errs {
 		all.Go(func() {
 			errs[i] = a.loadFrom(ctx, a.partition(i))
-			if len(a.missing()) == 0 {
+			if len(a.unloadedTopics()) == 0 {
 				cancel()
 			}
 		})
@@ -111,18 +111,18 @@
 }
 
 func (a *Archive) loadFrom(ctx context.Context, p eventlog.Partition) error {
-	c, cancel := patience.New(ctx, patience.Limits{First: a.opts.CallTimeout, Silence: a.opts.CallTimeout, Most: longestLoad})
+	c, cancel := patience.New(ctx, patience.Limits{First: a.opts.CallTimeout, Silence: a.opts.CallTimeout, Most: maxLoadTime})
 	defer cancel()
 	page, err := a.opts.Log.Newest(c, p, "")
 	if err != nil {
 		return err
 	}
-	for _, topic := range a.missing() {
+	for _, topic := range a.unloadedTopics() {
 		for _, rec := range page.Records {
 			if rec.Key != topic {
 				continue
 			}
-			if err := a.take(topic, rec.Value); err != nil {
+			if err := a.restore(topic, rec.Value); err != nil {
 				return err
 			}
 		}
@@ -130,17 +130,17 @@
 	return nil
 }
 
-func (a *Archive) take(topic string, value []byte) error {
+func (a *Archive) restore(topic string, value []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(value, &s); err != nil {
-		return fmt.Errorf("copy of %s: %w", topic, err)
+		return fmt.Errorf("snapshot of topic %s: %w", topic, err)
 	}
 	records, err := recordpack.Unpack(s.Packed)
 	if err != nil {
-		return fmt.Errorf("copy of %s: %w", topic, err)
+		return fmt.Errorf("snapshot of topic %s: %w", topic, err)
 	}
 	a.opts.Replicas[topic].MergeNewest(records, s.End)
-	log.WithFields(log.Fields{"topic": topic, "records": len(records), "end": s.End}).Warn("started from a copy of a topic")
+	log.WithFields(log.Fields{"topic": topic, "records": len(records), "end": s.End}).Warn("started from a snapshot of a topic")
 	return nil
 }
 
@@ -150,16 +150,16 @@
 			continue
 		}
 		if err := a.write(ctx, topic, c); err != nil {
-			log.WithField("topic", topic).WithError(err).Warn("copy of a topic not written")
+			log.WithField("topic", topic).WithError(err).Warn("cannot write snapshot of a topic")
 		}
 	}
 }
 
-// longestWrite bounds the append of a copy: a quarter of a megabyte, the most that a record
-// may have, at a tenth of a link of 10 Mbit/s.
-const longestWrite = 3 * time.Second
+// writeTimeout bounds the append of a snapshot: a quarter of a megabyte, the maximum size of a record,
+// at a tenth of a link of 10 Mbit/s.
+const writeTimeout = 3 * time.Second
 
-// write appends a copy of a topic, without its deleted keys.
+// write appends a snapshot of a topic, without its tombstones.
 func (a *Archive) write(ctx context.Context, topic string, c *replica.Replica) error {
 	part, _ := c.UpdateSince(0)
 	var alive []eventlog.Record
@@ -177,10 +177,10 @@
 		return err
 	}
 	if len(value) > a.opts.MaxRecordBytes {
-		return fmt.Errorf("%d bytes are more than a record may have", len(value))
+		return fmt.Errorf("snapshot has %d bytes, more than a record may hold", len(value))
 	}
 	for i := range a.opts.Partitions {
-		call, cancel := context.WithTimeout(ctx, longestWrite)
+		call, cancel := context.WithTimeout(ctx, writeTimeout)
 		_, failed := a.opts.Log.Append(call, a.partition(i), []eventlog.Record{{Key: topic, Value: value}})
 		cancel()
 		err = errors.Join(err, failed)
--- a/router/archive/archive_test.go
+++ b/router/archive/archive_test.go
@@ -23,12 +23,12 @@
 
 var listed = eventlog.Partition{Topic: "list"}
 
-// start starts a host's copy of the list and its archive; stop kills it.
+// start starts a host's replica of the list and its archive; stop kills it.
 func start(t *testing.T, l *memlog.Log, name string, writer bool) (c *replica.Replica, stop func()) {
 	return startLimited(t, l, name, writer, 1000)
 }
 
-// startLimited is start with another size of the largest record that the log takes.
+// startLimited is start with another limit on the size of records.
 func startLimited(t *testing.T, l *memlog.Log, name string, writer bool, maxBytes int) (c *replica.Replica, stop func()) {
 	c = replica.New(replica.Options{Log: l.Host(name), Partition: listed, LongPoll: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond})
 	a := New(Options{
@@ -53,16 +53,16 @@
 	return ok
 }
 
-// A host that starts while the list can't be read begins with the copy, and goes on
-// where the copy ended once the list is back.
-func TestStartsFromACopy(t *testing.T) {
+// A host that starts while the list is unreadable starts from the snapshot, and follows the list from
+// the end of the snapshot once the list is readable.
+func TestStartsFromASnapshot(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(listed, "a", []byte("1"))
 	l.Put(listed, "dead", []byte("1"))
 	l.Put(listed, "dead", nil)
 	_, stop := start(t, l, "h1", true)
-	until.True(t, "a copy is written", func() bool { return archived(l) })
+	until.True(t, "a snapshot is written", func() bool { return archived(l) })
 	stop()
 
 	l.SetPartitionFault(listed, memlog.Fault{Refuse: true})
@@ -70,7 +70,7 @@
 	l.SetPartitionFault(eventlog.Partition{Topic: "copies", Number: 1}, memlog.Fault{Silent: true})
 	c, stop := start(t, l, "h2", false)
 	defer stop()
-	until.True(t, "the copy is taken", c.Loaded)
+	until.True(t, "the snapshot is loaded", c.Loaded)
 	part, _ := c.UpdateSince(0)
 	is.Equal(len(part.Records), 1)
 	is.Equal(part.Records[0].Key, "a")
@@ -78,7 +78,7 @@
 
 	l.Put(listed, "b", []byte("2"))
 	l.SetPartitionFault(listed, memlog.Fault{})
-	until.True(t, "the list goes on", func() bool { return c.End() == 4 })
+	until.True(t, "the list is followed again", func() bool { return c.End() == 4 })
 }
 
 func TestOnlyTheWriterWrites(t *testing.T) {
@@ -92,7 +92,7 @@
 	is.True(!archived(l))
 }
 
-func TestTooLargeACopyIsNotWritten(t *testing.T) {
+func TestOversizedSnapshotIsNotWritten(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(listed, "a", make([]byte, 2000))
@@ -103,7 +103,7 @@
 	is.True(!archived(l))
 }
 
-func TestNoCopy(t *testing.T) {
+func TestStartWithoutLogOrSnapshots(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
 	l.SetPartitionFault(listed, memlog.Fault{Refuse: true})
@@ -113,22 +113,22 @@
 	is.True(!c.Loaded())
 }
 
-// Hosts were seen to start with a configuration that was two dozen seconds old, and to answer
-// 404 for its newer routes: since it had grown over the largest record that the log takes,
-// no copy of it was written any more, which nothing told but a line for debugging.
-func TestLargeConfigurationIsCopied(t *testing.T) {
+// Guards against hosts starting with a configuration that is two dozen seconds old and responding 404
+// for its newer routes: once the configuration had grown beyond the largest record that the log
+// accepts, no snapshot was written any more, which only a debug line reported.
+func TestLargeConfigurationIsArchived(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
 	want := bigconfig.Routes(1770, 1)
 	l.Put(listed, "config", want)
 	_, stop := startLimited(t, l, "h1", true, 1<<18)
-	until.True(t, "a copy is written", func() bool { return archived(l) })
+	until.True(t, "a snapshot is written", func() bool { return archived(l) })
 	stop()
 
 	l.SetPartitionFault(listed, memlog.Fault{Refuse: true})
 	c, stop := startLimited(t, l, "h2", false, 1<<18)
 	defer stop()
-	until.True(t, "the copy is taken", c.Loaded)
+	until.True(t, "the snapshot is loaded", c.Loaded)
 	part, _ := c.UpdateSince(0)
 	is.Equal(string(part.Records[0].Value), string(want))
 	is.Equal(part.End, int64(1))
