--- a/router/fleet/borrow.go
+++ b/router/fleet/borrow.go
@@ -55,11 +55,11 @@
 		if b.total.Tokens >= tokens || b.total.Shed || ctx.Err() != nil {
 			break
 		}
-		ask := lendRequest{Tokens: tokens - b.total.Tokens, FreeOnly: b.total.Authoritative}
-		if !ask.FreeOnly {
-			ask.Cost = cost // one keeper decides whether the request is shed
+		request := lendRequest{Tokens: tokens - b.total.Tokens, FreeOnly: b.total.Authoritative}
+		if !request.FreeOnly {
+			request.Cost = cost // one keeper decides whether the request is shed
 		}
-		b.askLender(ctx, address, ask)
+		b.askLender(ctx, address, request)
 	}
 	if !b.total.Shed && b.partialsSuffice(tokens) {
 		b.borrowPartials(ctx, addresses, tokens)
@@ -83,28 +83,28 @@
 }
 
 // askLender asks one host for a loan.
-func (b *borrower) askLender(ctx context.Context, address string, ask lendRequest) {
+func (b *borrower) askLender(ctx context.Context, address string, request lendRequest) {
 	f := b.fleet
-	ask.ID, ask.Organisation = f.recalls.newLoanID(), b.organisation
-	var got lendResponse
+	request.ID, request.Organisation = f.recalls.newLoanID(), b.organisation
+	var response lendResponse
 	call, cancel := context.WithTimeout(ctx, b.timeout)
-	err := f.client.callWithTimeout(call, address, pathLend, ask, &got)
+	err := f.client.callWithTimeout(call, address, pathLend, request, &response)
 	cancel()
 	if !b.shortTimeout {
 		f.recordCallResult(address, err)
 	}
 	switch {
 	case err == nil:
-		b.total.Tokens += got.Tokens
-		b.total.Authoritative = b.total.Authoritative || got.Keeper
-		b.total.Shed = b.total.Shed || got.Shed
+		b.total.Tokens += response.Tokens
+		b.total.Authoritative = b.total.Authoritative || response.Keeper
+		b.total.Shed = b.total.Shed || response.Shed
 		// A host that held enough and lent nothing reserves its tokens for larger requests.
 		// Borrowing them in parts would let small requests use them up.
-		if got.Free < ask.Tokens {
-			b.available[address] = got.Free
+		if response.Free < request.Tokens {
+			b.available[address] = response.Free
 		}
 	case !notSent(err):
-		f.recalls.add(pendingRecall{address: address, id: ask.ID})
+		f.recalls.add(pendingRecall{address: address, id: request.ID})
 	}
 }
 
--- a/router/fleet/calls.go
+++ b/router/fleet/calls.go
@@ -134,22 +134,22 @@
 const maxFetchTime = 10 * time.Second
 
 // callWithTimeout makes a call that ends after the client's timeout.
-func (c *client) callWithTimeout(ctx context.Context, address, path string, ask, answer any) error {
+func (c *client) callWithTimeout(ctx context.Context, address, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return c.call(ctx, address, path, ask, answer)
+	return c.call(ctx, address, path, request, response)
 }
 
 // fetch makes a call that is worth waiting for or whose response may be large. It ends when the
 // other host sends nothing for pullTimeout.
-func (c *client) fetch(ctx context.Context, address, path string, ask, answer any) error {
+func (c *client) fetch(ctx context.Context, address, path string, request, response any) error {
 	ctx, cancel := patience.New(ctx, patience.Limits{First: pullTimeout, Silence: pullTimeout, Most: maxFetchTime})
 	defer cancel()
-	return c.call(ctx, address, path, ask, answer)
+	return c.call(ctx, address, path, request, response)
 }
 
-func (c *client) call(ctx context.Context, address, path string, ask, answer any) error {
-	body, err := json.Marshal(ask)
+func (c *client) call(ctx context.Context, address, path string, request, response any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return &statusError{address: address, path: path, status: resp.Status}
 	}
-	return json.NewDecoder(patience.Reader(ctx, resp.Body)).Decode(answer)
+	return json.NewDecoder(patience.Reader(ctx, resp.Body)).Decode(response)
 }
 
 // Handler serves the calls from other hosts.
@@ -184,21 +184,21 @@
 }
 
 func (f *Fleet) servePull(w http.ResponseWriter, r *http.Request) {
-	var ask pullRequest
-	if !readJSON(w, r, &ask) {
+	var request pullRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
-	answer := pullResponse{Topics: map[string]topicUpdate{}}
-	if ask.EndsOnly && f.opts.Quarantine != nil {
-		answer.Quarantine = f.opts.Quarantine.Unpersisted()
+	response := pullResponse{Topics: map[string]topicUpdate{}}
+	if request.EndsOnly && f.opts.Quarantine != nil {
+		response.Quarantine = f.opts.Quarantine.Unpersisted()
 	}
 	for topic, c := range f.opts.Replicas {
-		from, wanted := ask.From[topic]
+		from, wanted := request.From[topic]
 		if !wanted || c.End() < from {
 			continue
 		}
-		if ask.EndsOnly {
-			answer.Topics[topic] = topicUpdate{End: c.End()}
+		if request.EndsOnly {
+			response.Topics[topic] = topicUpdate{End: c.End()}
 			continue
 		}
 		part, err := newTopicUpdate(c.CatchUpFrom(from))
@@ -206,41 +206,41 @@
 			log.WithField("topic", topic).WithError(err).Error("cannot encode records for another host")
 			continue
 		}
-		answer.Topics[topic] = part
+		response.Topics[topic] = part
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 func (f *Fleet) serveLend(w http.ResponseWriter, r *http.Request) {
-	var ask lendRequest
-	if !readJSON(w, r, &ask) {
+	var request lendRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
-	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens, Cost: ask.Cost, FreeOnly: ask.FreeOnly, AllowPartial: ask.AllowPartial})
+	loan := f.opts.Lend(r.Context(), prepaid.LoanRequest{ID: request.ID, Organisation: request.Organisation, Tokens: request.Tokens, Cost: request.Cost, FreeOnly: request.FreeOnly, AllowPartial: request.AllowPartial})
 	writeJSON(w, lendResponse{Tokens: loan.Tokens, Keeper: loan.Authoritative, Free: loan.Free, Shed: loan.Shed})
 }
 
 func (f *Fleet) serveRecall(w http.ResponseWriter, r *http.Request) {
-	var ask recallRequest
-	if !readJSON(w, r, &ask) {
+	var request recallRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
-	var answer recallResponse
-	for _, id := range ask.Loans {
-		answer.Tokens += f.opts.Recall(id)
+	var response recallResponse
+	for _, id := range request.Loans {
+		response.Tokens += f.opts.Recall(id)
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 func (f *Fleet) serveTransfer(w http.ResponseWriter, r *http.Request) {
-	var ask transferRequest
-	if !readJSON(w, r, &ask) {
+	var request transferRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
 	self := f.opts.Self.Incarnation
 	// An earlier incarnation may have accepted and spent the same transfer.
-	took := ask.Incarnation == self && f.opts.Credit(prepaid.Transfer{ID: ask.ID, Organisation: ask.Organisation, Tokens: ask.Tokens})
-	log.WithFields(log.Fields{"gift": ask.ID, "organisation": ask.Organisation, "tokens": ask.Tokens, "took": took}).Info("transfer of tokens from another host handled")
+	took := request.Incarnation == self && f.opts.Credit(prepaid.Transfer{ID: request.ID, Organisation: request.Organisation, Tokens: request.Tokens})
+	log.WithFields(log.Fields{"gift": request.ID, "organisation": request.Organisation, "tokens": request.Tokens, "took": took}).Info("received token transfer from another host")
 	writeJSON(w, transferResponse{Accepted: took, Incarnation: self})
 }
 
@@ -252,8 +252,8 @@
 	return true
 }
 
-func writeJSON(w http.ResponseWriter, answer any) {
-	data, err := json.Marshal(answer)
+func writeJSON(w http.ResponseWriter, response any) {
+	data, err := json.Marshal(response)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -66,7 +66,7 @@
 type peerState struct {
 	host        Host
 	lastSeen    time.Time // when its announcement last changed
-	restarted   bool      // at its first announcement seen here, it had not started before this host
+	restarted   bool      // when first seen, this incarnation had started no earlier than this host
 	reannounced bool      // the same incarnation announced itself again since then
 }
 
@@ -81,7 +81,7 @@
 	mu           sync.Mutex
 	seeds        []string
 	hosts        map[string]peerState
-	silentSince  map[string]time.Time // when an address last failed to answer
+	silentSince  map[string]time.Time // when an address last failed to respond
 	budgetShares map[string]float64   // of all prepaid tokens, 0 to 1, by organisation
 
 	lastAnnounced time.Time     // start of the last successful announcement of this host
@@ -176,7 +176,7 @@
 
 func (f *Fleet) partition() eventlog.Partition { return eventlog.Partition{Topic: f.opts.Topic} }
 
-// announce writes this host's announcement now and then at random intervals, until ctx ends.
+// announce writes this host's announcement at once and then at jittered intervals, until ctx ends.
 func (f *Fleet) announce(ctx context.Context) {
 	self := f.opts.Self
 	for ctx.Err() == nil {
--- a/router/fleet/fleet_test.go
+++ b/router/fleet/fleet_test.go
@@ -85,13 +85,13 @@
 func TestHostsOfALargeFleetAgreeOnKeepers(t *testing.T) {
 	is := is.New(t)
 	all := makeHosts(87, 3)
-	for part, wanted := range map[float64]int{0: 1, 0.01: 1, 0.3: 3, 1: 8} {
+	for share, wanted := range map[float64]int{0: 1, 0.01: 1, 0.3: 3, 1: 8} {
 		keepers := map[string]bool{}
 		asked := map[string]bool{}
 		for _, self := range all {
 			f := newFleet(self)
 			announceHosts(f, all...)
-			f.SetBudgetShares(map[string]float64{"org": part})
+			f.SetBudgetShares(map[string]float64{"org": share})
 			count, own := f.Keepers("org")
 			is.Equal(count, wanted)
 			if own {
@@ -203,7 +203,7 @@
 	given  atomic.Int64
 }
 
-func newPeer(t *testing.T, lends int64, keeper, takes bool) *peer {
+func newPeer(t *testing.T, lends int64, keeper, accepts bool) *peer {
 	p := &peer{}
 	f := New(Options{
 		Lend: func(_ context.Context, ask prepaid.LoanRequest) prepaid.Loan {
@@ -211,10 +211,10 @@
 			return prepaid.Loan{Tokens: min(ask.Tokens, lends), Authoritative: keeper}
 		},
 		Credit: func(gift prepaid.Transfer) bool {
-			if takes {
+			if accepts {
 				p.given.Add(gift.Tokens)
 			}
-			return takes
+			return accepts
 		},
 	})
 	p.server = httptest.NewServer(f.Handler())
@@ -291,7 +291,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	taken := map[string]int64{}
-	taker := New(Options{
+	receiver := New(Options{
 		Self: Host{Incarnation: "7"},
 		Credit: func(gift prepaid.Transfer) bool {
 			mu.Lock()
@@ -302,7 +302,7 @@
 	})
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		taker.Handler().ServeHTTP(w, r)
+		receiver.Handler().ServeHTTP(w, r)
 		if calls.Add(1) < 3 {
 			panic(http.ErrAbortHandler) // the response is lost
 		}
@@ -323,13 +323,13 @@
 func TestTransferIsForOneIncarnation(t *testing.T) {
 	is := is.New(t)
 	taken := atomic.Int64{}
-	taker := func(incarnation string) http.Handler {
+	receiver := func(incarnation string) http.Handler {
 		return New(Options{
 			Self:   Host{Incarnation: incarnation},
 			Credit: func(gift prepaid.Transfer) bool { taken.Add(gift.Tokens); return true },
 		}).Handler()
 	}
-	before, after := taker("1"), taker("2")
+	before, after := receiver("1"), receiver("2")
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
@@ -359,11 +359,11 @@
 // Unreachable and refusing hosts are skipped, and exactly one host is credited.
 func TestTransferGoesToOneHostOnly(t *testing.T) {
 	is := is.New(t)
-	refuses, takes, spare := newPeer(t, 0, false, false), newPeer(t, 0, false, true), newPeer(t, 0, false, true)
+	refuses, accepts, spare := newPeer(t, 0, false, false), newPeer(t, 0, false, true), newPeer(t, 0, false, true)
 	f := newFleet(Host{Name: "self"})
-	list := []string{"127.0.0.1:1", refuses.address(), takes.address(), spare.address()}
+	list := []string{"127.0.0.1:1", refuses.address(), accepts.address(), spare.address()}
 	is.True(f.transferTo(context.Background(), unknownIncarnations(list), "org", 70))
-	is.Equal(takes.given.Load(), int64(70))
+	is.Equal(accepts.given.Load(), int64(70))
 	is.Equal(spare.given.Load(), int64(0))
 	is.True(!f.transferTo(context.Background(), unknownIncarnations(list[:2]), "org", 70))
 }
@@ -382,18 +382,18 @@
 		f.Run(ctx)
 	}()
 	at := eventlog.Partition{Topic: "hosts"}
-	beat := func() int64 {
+	sequence := func() int64 {
 		rec, _ := l.Get(at, "self")
 		var h Host
 		_ = json.Unmarshal(rec.Value, &h)
 		return h.Sequence
 	}
-	until.True(t, "three announcements", func() bool { return beat() >= 3 })
+	until.True(t, "three announcements", func() bool { return sequence() >= 3 })
 	l.SetFault("self", memlog.Fault{Refuse: true})
 	time.Sleep(30 * time.Millisecond)
 	l.SetFault("self", memlog.Fault{})
-	before := beat()
-	until.True(t, "announcements resume", func() bool { return beat() > before })
+	before := sequence()
+	until.True(t, "announcements resume", func() bool { return sequence() > before })
 	cancel()
 	<-done
 	is.NoErr(f.Leave(context.Background()))
--- a/router/fleet/history.go
+++ b/router/fleet/history.go
@@ -28,23 +28,23 @@
 	if len(addresses) == 0 {
 		return h, false
 	}
-	var got historyResponse
-	err := f.client.callWithTimeout(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &got)
+	var response historyResponse
+	err := f.client.callWithTimeout(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &response)
 	f.recordCallResult(addresses[0], err)
-	return prepaid.LimitHistory{Since: got.Since, UpTo: got.UpTo, Lowered: got.Lowered}, err == nil
+	return prepaid.LimitHistory{Since: response.Since, UpTo: response.UpTo, Lowered: response.Lowered}, err == nil
 }
 
 func (f *Fleet) serveHistory(w http.ResponseWriter, r *http.Request) {
-	var ask historyRequest
-	if !readJSON(w, r, &ask) {
+	var request historyRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
 	h := f.opts.History()
-	answer := historyResponse{Since: h.Since, UpTo: h.UpTo, Lowered: map[string]int64{}}
+	response := historyResponse{Since: h.Since, UpTo: h.UpTo, Lowered: map[string]int64{}}
 	for organisation, version := range h.Lowered {
-		if version > ask.Since {
-			answer.Lowered[organisation] = version
+		if version > request.Since {
+			response.Lowered[organisation] = version
 		}
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -10,10 +10,10 @@
 )
 
 // SetBudgetShares sets each organisation's share (0 to 1) of all prepaid tokens.
-func (f *Fleet) SetBudgetShares(parts map[string]float64) {
+func (f *Fleet) SetBudgetShares(shares map[string]float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budgetShares = parts
+	f.budgetShares = shares
 }
 
 // Keepers returns how many hosts hold tokens of a budget, and whether this host is one of
--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -24,7 +24,7 @@
 	limits  map[string]int64
 	budgets []prepaid.Budget
 
-	treasuries []*prepaid.Allocator
+	allocators []*prepaid.Allocator
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
@@ -32,7 +32,7 @@
 // start starts new incarnations of all hosts; only the log survives from an earlier start.
 func (l *lossFleet) start(incarnation int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	l.cancel, l.treasuries = cancel, nil
+	l.cancel, l.allocators = cancel, nil
 	calls := inProcess{}
 	for _, self := range l.all {
 		f := newFleet(self)
@@ -47,7 +47,7 @@
 		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
 		calls[self.Address] = f.Handler()
 		tr.Configure(1, l.budgets, true)
-		l.treasuries = append(l.treasuries, tr)
+		l.allocators = append(l.allocators, tr)
 		l.running.Go(func() { tr.Run(ctx) })
 	}
 }
@@ -92,7 +92,7 @@
 		}
 		return
 	}
-	tr := l.treasuries[r.IntN(len(l.treasuries))]
+	tr := l.allocators[r.IntN(len(l.allocators))]
 	tokens := int64(k.tokens * (0.4 + 1.2*r.Float64()))
 	took := time.Duration((0.2 + r.Float64()) * float64(time.Second))
 	l.running.Go(func() {
@@ -150,8 +150,8 @@
 	}
 	l := &lossFleet{t: t, all: makeHosts(size, 4), log: memlog.New(), limits: map[string]int64{}}
 	for i := range 10 {
-		part := float64(2*(10-i)-1) / 100 // of all requests
-		l.limits[fmt.Sprintf("org%d", i)] = int64(part * flow * lasts * (0.9 + 0.3*r.Float64()))
+		share := float64(2*(10-i)-1) / 100 // of all requests
+		l.limits[fmt.Sprintf("org%d", i)] = int64(share * flow * lasts * (0.9 + 0.3*r.Float64()))
 	}
 	for organisation, limit := range l.limits {
 		l.budgets = append(l.budgets, prepaid.Budget{Organisation: organisation, Limit: limit})
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -27,7 +27,7 @@
 // pool is a fleet of hosts that share prepaid budgets, in one process.
 type pool struct {
 	log        *memlog.Log
-	treasuries []*prepaid.Allocator
+	allocators []*prepaid.Allocator
 }
 
 // newPool starts n hosts in five failure domains; limits are the budgets of the organisations.
@@ -49,13 +49,13 @@
 		})
 		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
 		calls[self.Address] = f.Handler()
-		p.treasuries = append(p.treasuries, tr)
+		p.allocators = append(p.allocators, tr)
 	}
 	var budgets []prepaid.Budget
 	for organisation, limit := range limits {
 		budgets = append(budgets, prepaid.Budget{Organisation: organisation, Limit: limit})
 	}
-	for _, tr := range p.treasuries {
+	for _, tr := range p.allocators {
 		tr.Configure(1, budgets, true)
 		go tr.Run(ctx)
 	}
@@ -75,12 +75,12 @@
 
 // reserveAnywhere reserves tokens at a random host and uses all of them.
 func (p *pool) reserveAnywhere(organisation string, tokens int64) bool {
-	return p.reserveAt(rand.IntN(len(p.treasuries)), organisation, tokens)
+	return p.reserveAt(rand.IntN(len(p.allocators)), organisation, tokens)
 }
 
 // reserveAt reserves tokens at one host and uses all of them.
 func (p *pool) reserveAt(host int, organisation string, tokens int64) bool {
-	tr := p.treasuries[host]
+	tr := p.allocators[host]
 	r, err := tr.Reserve(context.Background(), organisation, tokens)
 	if err != nil {
 		return false
@@ -91,7 +91,7 @@
 
 // free sums the free tokens of all hosts.
 func (p *pool) free(organisation string) (sum int64) {
-	for _, tr := range p.treasuries {
+	for _, tr := range p.allocators {
 		if h, ok := tr.Holding(organisation); ok {
 			sum += h.Free
 		}
@@ -139,7 +139,7 @@
 		}
 	}
 	keepers, asker := 0, -1
-	for i, tr := range p.treasuries {
+	for i, tr := range p.allocators {
 		if h, _ := tr.Holding("org"); h.Keeper {
 			keepers++
 		} else {
@@ -164,7 +164,7 @@
 	for range 20 {
 		is.True(p.reserveAnywhere("org", request))
 	}
-	for i, tr := range p.treasuries {
+	for i, tr := range p.allocators {
 		if h, _ := tr.Holding("org"); h.Keeper {
 			p.log.SetFault(fmt.Sprintf("h%d", i), memlog.Fault{Refuse: true})
 		}
--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -161,14 +161,14 @@
 		p.fleet.recordPull(asked)
 		return nil
 	}
-	var got pullResponse
-	if err := calls.fetch(ctx, address, pathPull, pullRequest{From: missing}, &got); err != nil {
+	var response pullResponse
+	if err := calls.fetch(ctx, address, pathPull, pullRequest{From: missing}, &response); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	p.lastSource = address
 	p.mu.Unlock()
-	if err := p.fleet.merge(address, missing, got); err != nil {
+	if err := p.fleet.merge(address, missing, response); err != nil {
 		return err
 	}
 	p.fleet.recordPull(asked)
@@ -176,19 +176,19 @@
 }
 
 // merge applies the records of the topics that were requested from another host.
-func (f *Fleet) merge(address string, asked map[string]int64, got pullResponse) error {
-	for topic, answer := range got.Topics {
-		if _, wanted := asked[topic]; !wanted {
+func (f *Fleet) merge(address string, requested map[string]int64, response pullResponse) error {
+	for topic, encoded := range response.Topics {
+		if _, wanted := requested[topic]; !wanted {
 			continue
 		}
-		part, err := answer.update()
+		update, err := encoded.update()
 		if err != nil {
 			return fmt.Errorf("records of %s: %w", topic, err)
 		}
 		log.WithFields(log.Fields{
-			"peer": address, "topic": topic, "records": len(part.Records), "end": part.End, "bytes": len(answer.Packed),
+			"peer": address, "topic": topic, "records": len(update.Records), "end": update.End, "bytes": len(encoded.Packed),
 		}).Info("pulled missed log records from another host")
-		f.opts.Replicas[topic].MergeUpdate(part)
+		f.opts.Replicas[topic].MergeUpdate(update)
 	}
 	return nil
 }
--- a/router/fleet/quarantine.go
+++ b/router/fleet/quarantine.go
@@ -89,8 +89,8 @@
 	defer cancel()
 	var cleared atomic.Bool
 	f.forEach(f.addresses(), func(address string) {
-		var got clearedResponse
-		if err := f.client.callWithTimeout(ctx, address, pathCleared, clearedRequest{Digest: d}, &got); err == nil && got.Cleared {
+		var response clearedResponse
+		if err := f.client.callWithTimeout(ctx, address, pathCleared, clearedRequest{Digest: d}, &response); err == nil && response.Cleared {
 			cleared.Store(true)
 			cancel()
 		}
@@ -135,20 +135,20 @@
 }
 
 func (f *Fleet) serveExits(w http.ResponseWriter, r *http.Request) {
-	var ask exitsRequest
-	if !readJSON(w, r, &ask) {
+	var request exitsRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
-	f.opts.Quarantine.AddReports(ask.Reports)
+	f.opts.Quarantine.AddReports(request.Reports)
 	writeJSON(w, emptyResponse{})
 }
 
 func (f *Fleet) serveCleared(w http.ResponseWriter, r *http.Request) {
-	var ask clearedRequest
-	if !readJSON(w, r, &ask) {
+	var request clearedRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
-	writeJSON(w, clearedResponse{Cleared: f.opts.Quarantine.IsCleared(ask.Digest)})
+	writeJSON(w, clearedResponse{Cleared: f.opts.Quarantine.IsCleared(request.Digest)})
 }
 
 func (f *Fleet) serveQuarantine(w http.ResponseWriter, r *http.Request) {
--- a/router/fleet/recall.go
+++ b/router/fleet/recall.go
@@ -90,15 +90,15 @@
 		byLender[loan.address] = append(byLender[loan.address], loan)
 	}
 	for address, loans := range byLender {
-		var ask recallRequest
+		var request recallRequest
 		for _, loan := range loans {
-			ask.Loans = append(ask.Loans, loan.id)
+			request.Loans = append(request.Loans, loan.id)
 		}
-		var got recallResponse
+		var response recallResponse
 		call, cancel := context.WithTimeout(ctx, recallTimeout)
-		err := r.client.callWithTimeout(call, address, pathRecall, ask, &got)
+		err := r.client.callWithTimeout(call, address, pathRecall, request, &response)
 		cancel()
-		log.WithFields(log.Fields{"peer": address, "loans": len(loans), "tokens": got.Tokens, "answered": err == nil}).Debug("recall of unanswered loans sent")
+		log.WithFields(log.Fields{"peer": address, "loans": len(loans), "tokens": response.Tokens, "answered": err == nil}).Debug("recall of unanswered loans sent")
 		if err != nil {
 			failed = append(failed, loans...)
 		}
--- a/router/fleet/relay.go
+++ b/router/fleet/relay.go
@@ -23,26 +23,26 @@
 
 // Relay asks a reader of a topic in this host's failure domain for the changes from an offset
 // on. ok is false if this host is a reader itself, or no reader has a fresh response.
-func (f *Fleet) Relay(ctx context.Context, topic string, from int64) (part replica.Update, ok bool) {
+func (f *Fleet) Relay(ctx context.Context, topic string, from int64) (update replica.Update, ok bool) {
 	readers := f.readers(topic)
 	for _, address := range readers[:min(len(readers), maxReadersAsked)] {
-		ask := pullRequest{From: map[string]int64{topic: from}}
-		var got pullResponse
+		request := pullRequest{From: map[string]int64{topic: from}}
+		var response pullResponse
 		call, cancel := context.WithTimeout(ctx, relayTimeout)
-		err := f.client.callWithTimeout(call, address, pathPull, ask, &got)
+		err := f.client.callWithTimeout(call, address, pathPull, request, &response)
 		cancel()
 		f.recordCallResult(address, err)
-		answer, told := got.Topics[topic]
-		if err != nil || !told {
+		encoded, found := response.Topics[topic]
+		if err != nil || !found {
 			continue
 		}
-		part, err = answer.update()
+		update, err = encoded.update()
 		if err != nil {
 			log.WithField("peer", address).WithError(err).Error("cannot decode records from another host")
 			continue
 		}
-		if part.Age <= relayMaxAge {
-			return part, true
+		if update.Age <= relayMaxAge {
+			return update, true
 		}
 	}
 	return replica.Update{}, false
--- a/router/fleet/transfers.go
+++ b/router/fleet/transfers.go
@@ -26,7 +26,7 @@
 	return f.transferTo(ctx, f.peerHosts(f.lenders(organisation)), organisation, tokens)
 }
 
-// Transfer transfers tokens to any other host, trying keepers of the budget last.
+// Transfer transfers tokens to any other host; in a large fleet it tries keepers of the budget first.
 func (f *Fleet) Transfer(ctx context.Context, organisation string, tokens int64) bool {
 	list := f.addresses()
 	if lenders := f.lenders(organisation); lenders != nil {
@@ -87,22 +87,22 @@
 // offerTo offers tokens to one host. An unanswered call is retried with the same id and for the
 // same incarnation: a host remembers its responses as long as it runs.
 func (f *Fleet) offerTo(ctx context.Context, host peerHost, organisation string, tokens int64) transferResult {
-	ask := transferRequest{ID: f.newTransferID(), Incarnation: host.incarnation, Organisation: organisation, Tokens: tokens}
+	request := transferRequest{ID: f.newTransferID(), Incarnation: host.incarnation, Organisation: organisation, Tokens: tokens}
 	unanswered := false
 	for {
-		var got transferResponse
+		var response transferResponse
 		call, cancel := context.WithTimeout(ctx, transferTimeout)
-		err := f.client.callWithTimeout(call, host.address, pathTransfer, ask, &got)
+		err := f.client.callWithTimeout(call, host.address, pathTransfer, request, &response)
 		cancel()
 		switch {
-		case err == nil && got.Accepted:
+		case err == nil && response.Accepted:
 			return transferAccepted
-		case err == nil && got.Incarnation == ask.Incarnation:
+		case err == nil && response.Incarnation == request.Incarnation:
 			return transferRefused
 		case err == nil && unanswered:
 			return transferUncertain // the previous incarnation may have accepted them
 		case err == nil:
-			ask.Incarnation = got.Incarnation
+			request.Incarnation = response.Incarnation
 			continue
 		case notSent(err) && !unanswered:
 			return transferUnreachable
--- a/router/fleet/transfers_test.go
+++ b/router/fleet/transfers_test.go
@@ -21,7 +21,7 @@
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { return true }})
+	receiver := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { return true }})
 	go func() {
 		time.Sleep(2 * transferTimeout)
 		l, err := net.Listen("tcp", address)
@@ -30,7 +30,7 @@
 			return
 		}
 		t.Cleanup(func() { _ = l.Close() })
-		_ = http.Serve(l, taker.Handler()) // ends with the listener
+		_ = http.Serve(l, receiver.Handler()) // ends with the listener
 	}()
 	f := newFleet(Host{Name: "self"})
 	is.True(f.transferTo(context.Background(), []peerHost{{address: address, incarnation: "7"}}, "org", 70))
@@ -40,10 +40,10 @@
 func TestRefusedTransferIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	asked := 0
-	taker := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { asked++; return false }})
+	receiver := New(Options{Self: Host{Incarnation: "7"}, Credit: func(prepaid.Transfer) bool { asked++; return false }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	go func() { _ = http.Serve(l, taker.Handler()) }()
+	go func() { _ = http.Serve(l, receiver.Handler()) }()
 	f := newFleet(Host{Name: "self"})
 	is.True(!f.transferTo(context.Background(), []peerHost{{address: l.Addr().String(), incarnation: "7"}}, "org", 70))
 	is.NoErr(l.Close())
