--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -16,8 +16,8 @@
 
 // Rollouts conducts rollouts for other hosts.
 type Rollouts interface {
-	// Conduct handles a report and returns advice.
-	Conduct(r rollout.Report) rollout.Advice
+	// Coordinate handles a report and returns advice.
+	Coordinate(r rollout.Report) rollout.Advice
 }
 
 // ReportRollout reports what this host saw of a rollout to the host that conducts it and returns its
@@ -86,5 +86,5 @@
 	if f.opts.Rollouts == nil {
 		return rollout.Advice{Phase: rollout.PhaseHeld}
 	}
-	return f.opts.Rollouts.Conduct(r)
+	return f.opts.Rollouts.Coordinate(r)
 }
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// Conduct implements fleet.Rollouts.
-func (r *rollouts) Conduct(report rollout.Report) rollout.Advice {
+// Coordinate implements fleet.Rollouts.
+func (r *rollouts) Coordinate(report rollout.Report) rollout.Advice {
 	order, received, ok := r.orderOf(report)
 	if !ok {
 		return rollout.Advice{Phase: rollout.PhaseHeld} // this host has not read the order yet
