--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -50,7 +50,7 @@
 	History func() prepaid.LimitHistory
 	// Quarantine detects requests that crash targets. nil: this host does not take part.
 	Quarantine Quarantine
-	// Rollouts conducts rollouts for other hosts. nil: this host conducts none.
+	// Rollouts coordinates rollouts for other hosts. nil: this host coordinates none.
 	Rollouts Rollouts
 	// OnPull counts pulls by their outcome, PullOK or PullFailed. nil: they are not counted.
 	OnPull func(outcome string)
--- a/router/fleet/rollout.go
+++ b/router/fleet/rollout.go
@@ -11,20 +11,20 @@
 // pathRollout is the path of reports about a rollout.
 const pathRollout = "/fleet/rollout"
 
-// maxConductors is how many hosts may conduct a rollout: one may be down and one cut off.
-const maxConductors = 3
+// maxCoordinators is how many hosts may coordinate a rollout: one may be down and one cut off.
+const maxCoordinators = 3
 
-// Rollouts conducts rollouts for other hosts.
+// Rollouts coordinates rollouts for other hosts.
 type Rollouts interface {
 	// Coordinate handles a report and returns advice.
 	Coordinate(r rollout.Report) rollout.Advice
 }
 
-// ReportRollout reports what this host saw of a rollout to the host that conducts it and returns its
+// ReportRollout reports what this host saw of a rollout to the host that coordinates it and returns its
 // advice. All hosts try the same few hosts in the same order, and go on to the next if one is
 // silent or cannot reach the log. ok is false if none responded.
 func (f *Fleet) ReportRollout(ctx context.Context, r rollout.Report) (advice rollout.Advice, ok bool) {
-	for _, address := range f.conductors(r.Service) {
+	for _, address := range f.coordinators(r.Service) {
 		got, err := f.reportTo(ctx, address, r)
 		if err != nil {
 			continue
@@ -48,16 +48,16 @@
 	return advice, err
 }
 
-// conductors lists the addresses of the hosts that may conduct the rollout of a service, recently
+// coordinators lists the addresses of the hosts that may coordinate the rollout of a service, recently
 // silent ones last.
-func (f *Fleet) conductors(service string) []string {
+func (f *Fleet) coordinators(service string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	self := f.opts.Self
 	names := append([]string{self.Name}, f.activePeers()...)
 	ranked := rendezvous.Rank(rolloutDuty(service), names, func(name string) string { return name })
-	addresses := make([]string, 0, maxConductors)
-	for _, name := range ranked[:min(len(ranked), maxConductors)] {
+	addresses := make([]string, 0, maxCoordinators)
+	for _, name := range ranked[:min(len(ranked), maxCoordinators)] {
 		if name == self.Name {
 			addresses = append(addresses, self.Address)
 			continue
@@ -67,7 +67,7 @@
 	return f.silentLast(addresses)
 }
 
-// IsPrimaryForRollout reports whether this host is the first choice to conduct the rollout of a
+// IsPrimaryForRollout reports whether this host is the first choice to coordinate the rollout of a
 // service.
 func (f *Fleet) IsPrimaryForRollout(service string) bool { return f.IsPrimary(rolloutDuty(service)) }
 
