--- a/daemon/run/job.go
+++ b/daemon/run/job.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	e.targets.Earn()
+	e.targets.EarnRetry()
 	if !j.decision.Single {
 		return nil
 	}
--- a/daemon/run/try.go
+++ b/daemon/run/try.go
@@ -85,7 +85,7 @@
 	if res.verdict == broken && j.decision.Single {
 		return errkind.New(errkind.Unknown, "the target's answer was lost: %w", res.err)
 	}
-	if n >= j.engine.watch.Retries || !j.engine.targets.Retry() {
+	if n >= j.engine.watch.Retries || !j.engine.targets.SpendRetry() {
 		if j.dispatched {
 			return errkind.New(errkind.TargetFailed, "no more tries: %w", res.err)
 		}
--- a/daemon/target/choose.go
+++ b/daemon/target/choose.go
@@ -281,8 +281,8 @@
 	t.failures = 0
 }
 
-// Retry spends from the retry budget; false means that it is used up.
-func (r *Registry) Retry() bool {
+// SpendRetry spends from the retry budget; false means that it is used up.
+func (r *Registry) SpendRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.tokens < 1 {
@@ -292,8 +292,8 @@
 	return true
 }
 
-// Earn adds to the retry budget for a request.
-func (r *Registry) Earn() {
+// EarnRetry adds to the retry budget for a request.
+func (r *Registry) EarnRetry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tokens = min(r.tokens+float64(r.cfg.RetryBudget)/100, retryBurst)
