--- a/daemon/target/watch.go
+++ b/daemon/target/watch.go
@@ -148,8 +148,8 @@
 	t.listLeaves = m.Leaving
 }
 
-// Gone says whether a fresh membership list no longer has a host.
-func (r *Registry) Gone(host string) bool {
+// HostDelisted says whether a fresh membership list no longer has a host.
+func (r *Registry) HostDelisted(host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Since(r.listed) > 4*r.every+r.timeout {
