--- a/daemon/node/links_test.go
+++ b/daemon/node/links_test.go
@@ -17,7 +17,7 @@
 )
 
 // lender is a host that lends what it is asked for and does nothing else.
-type lender struct{ peer.Duties }
+type lender struct{ peer.Handler }
 
 func (lender) Lend(_, _, _ string, tokens uint64) uint64 { return tokens }
 
--- a/daemon/peer/server.go
+++ b/daemon/peer/server.go
@@ -22,8 +22,8 @@
 
 const tailMax = 500
 
-// Duties is what the rest of the host does for its peers.
-type Duties interface {
+// Handler is what the rest of the host does for its peers.
+type Handler interface {
 	Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteResponse) error) error
 	Claim(id, claimant string, epoch uint64) claim.Answer
 	Release(id, claimant string)
@@ -40,11 +40,11 @@
 // Server answers the other hosts.
 type Server struct {
 	peerv1.UnimplementedPeerServer
-	duties Duties
+	duties Handler
 }
 
 // NewServer makes a gRPC server for d; callers must know the secret.
-func NewServer(d Duties, secret string) *grpc.Server {
+func NewServer(d Handler, secret string) *grpc.Server {
 	g := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessage),
 		grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
