--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -96,7 +96,7 @@
 	p := n.cfg.Peers
 	return peer.NewDetector(peer.Options{
 		Self: inc, Region: n.cfg.Host.Region, View: n.store, Pool: n.pool, Status: n.status,
-		Gone: n.registry.HostDelisted, Evict: n.evict,
+		HostDelisted: n.registry.HostDelisted, Evict: n.evict,
 		Interval: p.PingInterval, SuspectAfter: p.SuspectAfter, Timeout: p.Timeout,
 	})
 }
--- a/daemon/peer/detector.go
+++ b/daemon/peer/detector.go
@@ -51,7 +51,7 @@
 	View                            View
 	Pool                            *Pool
 	Status                          func() *peerv1.Status
-	Gone                            func(host string) bool
+	HostDelisted                    func(host string) bool
 	Evict                           func(inc string, epoch uint64)
 	Interval, SuspectAfter, Timeout time.Duration
 }
@@ -59,7 +59,7 @@
 // NewDetector makes a detector; Run starts it.
 func NewDetector(o Options) *Detector {
 	return &Detector{
-		self: o.Self, region: o.Region, view: o.View, pool: o.Pool, status: o.Status, gone: o.Gone,
+		self: o.Self, region: o.Region, view: o.View, pool: o.Pool, status: o.Status, gone: o.HostDelisted,
 		evict: o.Evict, interval: o.Interval, suspect: o.SuspectAfter, timeout: o.Timeout,
 		peers: map[string]*heard{},
 	}
