--- a/daemon/target/choose.go
+++ b/daemon/target/choose.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	retryBurst    = 20.0 // most retries saved up
-	failuresMax   = 2    // in a row, then the target is ejected
-	slowFactor    = 4.0  // times the pool's median gap between tokens counts as slow
-	slowWeight    = 3.0  // added to the load of a slow target
-	prefixBonus   = 0.5  // taken from the load of a target that has the prefix
-	farWeight     = 0.05 // added to the load of a target in another failure domain
-	shareFactor   = 1.5  // times a host's even share of the slots that it may use
-	queueThere    = 0.25 // requests per slot that may wait at a target
-	urgent        = 8    // priority from which a target's own queue does not matter: targets honour priorities
-	serviceWeight = 0.1  // of the newest service time
-	minRetry      = time.Second / 2
+	maxRetryTokens     = 20.0 // cap of the retry budget
+	maxFailures        = 2    // consecutive failures after which a target is ejected
+	slowGapFactor      = 4.0  // a target is slow if its gap between tokens exceeds this multiple of the pool's median
+	slowPenalty        = 3.0  // added to the load of a slow target
+	prefixBonus        = 0.5  // subtracted from the load of a target that has the prefix cached
+	otherDomainPenalty = 0.05 // added to the load of a target in another failure domain
+	shareFactor        = 1.5  // multiple of its even share of the slots that a host may use
+	maxTargetQueue     = 0.25 // requests per slot that may be queued at a target
+	urgentPriority     = 8    // requests of at least this priority ignore the target's own queue, because targets honour priorities
+	smoothing          = 0.1  // weight of the newest sample in a moving average
+	minRetryAfter      = time.Second / 2
 )
 
-// Want is what a request asks of a pool.
+// Want says what a request requires of a pool.
 type Want struct {
 	Pool     string
 	Priority int
 	Prefix   uint64          // hash of the prompt's prefix, 0: none
-	Exclude  map[string]bool // targets tried already
+	Exclude  map[string]bool // targets already tried
 }
 
-// pool is the queue before the targets of one pool.
+// pool is the queue of requests that wait for a target of one pool.
 type pool struct {
-	queue   waiters
-	seq     uint64
-	service map[int]float64 // smoothed seconds a request holds its slot, by priority
+	queue          waiters
+	seq            uint64
+	serviceSeconds map[int]float64 // moving average of the time that a request holds its slot, by priority
 }
 
-// waiter is a request in the queue.
+// waiter is a queued request.
 type waiter struct {
-	want  Want
-	seq   uint64
-	got   chan *Target // buffered, one
-	index int
+	want     Want
+	seq      uint64
+	assigned chan *Target // buffer of 1
+	index    int
 }
 
-// waiters is a heap: larger priority first, then first come.
+// waiters is a heap: highest priority first, then in order of arrival.
 type waiters []*waiter
 
 func (w waiters) Len() int { return len(w) }
@@ -81,14 +81,14 @@
 func (r *Registry) pool(name string) *pool {
 	p := r.pools[name]
 	if p == nil {
-		p = &pool{service: map[int]float64{}}
+		p = &pool{serviceSeconds: map[int]float64{}}
 		r.pools[name] = p
 	}
 	return p
 }
 
-// Admit says early whether a request can be expected to get a slot in time; if
-// not, the error is of kind Overloaded or Unavailable and says when to come back.
+// Admit reports whether a request can be expected to get a slot in time. If not, the
+// error is of kind Unavailable, or Overloaded with the time after which to retry.
 func (r *Registry) Admit(w Want, within time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,23 +107,23 @@
 			ahead++
 		}
 	}
-	// The other hosts have requests waiting too: count on an even share.
+	// Other hosts have queued requests too: assume an even share of the slots.
 	share := float64(slots) / float64(r.sharers())
-	service := p.service[w.Priority]
+	service := p.serviceSeconds[w.Priority]
 	wait := seconds(service * (float64(ahead)/share + 1))
 	if len(p.queue) >= r.cfg.Queue || wait > within {
 		return errkind.New(errkind.Overloaded, "pool %q: %d requests wait for this host's share of %d slots", w.Pool, ahead, slots).
-			Retry(max(wait-within, minRetry))
+			Retry(max(wait-within, minRetryAfter))
 	}
 	return nil
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sharers is how many hosts send to the targets.
+// sharers returns the number of hosts that send to the targets.
 func (r *Registry) sharers() int { return max(len(r.hosts), 1) }
 
-// slots counts those of the targets that a request may go to.
+// slots returns the total slots of the targets that a request may go to.
 func (r *Registry) slots(w Want) int {
 	n := 0
 	for _, t := range r.targets {
@@ -134,8 +134,8 @@
 	return n
 }
 
-// Acquire waits for a slot at a target. Errors are of kind Overloaded or
-// Unavailable; ctx carries the latest start.
+// Acquire waits for a slot at a target. Errors are of kind Overloaded or Unavailable.
+// The deadline of ctx is the latest start.
 func (r *Registry) Acquire(ctx context.Context, w Want) (*Target, error) {
 	r.mu.Lock()
 	if t := r.best(w); t != nil {
@@ -153,7 +153,7 @@
 	}
 	p := r.pool(w.Pool)
 	p.seq++
-	e := &waiter{want: w, seq: p.seq, got: make(chan *Target, 1)}
+	e := &waiter{want: w, seq: p.seq, assigned: make(chan *Target, 1)}
 	heap.Push(&p.queue, e)
 	r.mu.Unlock()
 	return r.await(ctx, p, e)
@@ -164,42 +164,42 @@
 	defer again.Stop()
 	for {
 		select {
-		case t := <-e.got:
+		case t := <-e.assigned:
 			return t, nil
 		case <-again.C:
 			if r.tooLate(ctx, p, e) {
-				return r.giveUp(p, e)
+				return r.abandon(p, e)
 			}
 		case <-ctx.Done():
-			return r.giveUp(p, e)
+			return r.abandon(p, e)
 		}
 	}
 }
 
-// tooLate serves the queue once more and says whether a request that still waits
-// could not be done in time any longer.
+// tooLate dispatches the queue once more and reports whether a request that still
+// waits can no longer complete before its deadline.
 func (r *Registry) tooLate(ctx context.Context, p *pool, e *waiter) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.serve(p)
+	r.dispatch(p)
 	deadline, ok := ctx.Deadline()
-	return ok && e.index >= 0 && time.Until(deadline) < seconds(p.service[e.want.Priority])
+	return ok && e.index >= 0 && time.Until(deadline) < seconds(p.serviceSeconds[e.want.Priority])
 }
 
-// giveUp takes a request out of the queue, unless it has just got a slot.
-func (r *Registry) giveUp(p *pool, e *waiter) (*Target, error) {
+// abandon removes a request from the queue, unless it has just been assigned a target.
+func (r *Registry) abandon(p *pool, e *waiter) (*Target, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e.index < 0 {
-		return <-e.got, nil
+		return <-e.assigned, nil
 	}
 	heap.Remove(&p.queue, e.index)
-	return nil, errkind.New(errkind.Overloaded, "pool %q: no slot in time", e.want.Pool).Retry(seconds(p.service[e.want.Priority]))
+	return nil, errkind.New(errkind.Overloaded, "pool %q: no slot in time", e.want.Pool).Retry(seconds(p.serviceSeconds[e.want.Priority]))
 }
 
-// serve hands free slots to those who wait, in order; r.mu is held. A waiter
-// that no free target suits does not hold up those behind it.
-func (r *Registry) serve(p *pool) {
+// dispatch assigns free slots to waiters in order; r.mu is held. A waiter that
+// excludes targets and finds no other free one does not block those behind it.
+func (r *Registry) dispatch(p *pool) {
 	var passed []*waiter
 	for p.queue.Len() > 0 {
 		e := heap.Pop(&p.queue).(*waiter)
@@ -212,56 +212,56 @@
 			continue
 		}
 		t.outstanding++
-		e.got <- t
+		e.assigned <- t
 	}
 	for _, e := range passed {
 		heap.Push(&p.queue, e)
 	}
 }
 
-// served notes how long a request held its slot.
-func (p *pool) served(priority int, held time.Duration) {
-	before, known := p.service[priority]
+// recordService adds the time that a request held its slot to the moving average.
+func (p *pool) recordService(priority int, held time.Duration) {
+	before, known := p.serviceSeconds[priority]
 	if !known {
-		p.service[priority] = held.Seconds()
+		p.serviceSeconds[priority] = held.Seconds()
 		return
 	}
-	p.service[priority] = before + serviceWeight*(held.Seconds()-before)
+	p.serviceSeconds[priority] = before + smoothing*(held.Seconds()-before)
 }
 
-// Result is how a request fared at a target.
+// Result is the outcome of an attempt at a target.
 type Result struct {
 	Priority int
-	Failed   bool          // silent, broken or wrong
-	Left     bool          // it says it is leaving
-	Held     time.Duration // how long it held the slot
+	Failed   bool          // no response, a broken stream or an invalid response
+	Left     bool          // the target reported that it is leaving
+	Held     time.Duration // time for which the attempt held the slot
 	Gap      time.Duration // mean time between tokens, 0: unknown
 }
 
-// Release gives a slot back.
+// Release returns a slot and records the outcome.
 func (r *Registry) Release(t *Target, res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.outstanding--
-	t.ownLeaves = t.ownLeaves || res.Left
+	t.reportedLeaving = t.reportedLeaving || res.Left
 	p := r.pool(t.Pool)
 	if res.Failed {
 		t.failures++
-		if t.failures >= failuresMax {
+		if t.failures >= maxFailures {
 			r.eject(t)
 		}
 	} else if !res.Left {
 		t.failures = 0
-		p.served(res.Priority, res.Held)
+		p.recordService(res.Priority, res.Held)
 	}
 	if res.Gap > 0 {
-		t.gap += serviceWeight * (res.Gap.Seconds() - t.gap)
+		t.gap += smoothing * (res.Gap.Seconds() - t.gap)
 	}
-	r.serve(p)
+	r.dispatch(p)
 }
 
-// eject keeps new requests from a target for a while, unless too many of its
-// pool are ejected already.
+// eject takes a target out of selection for EjectFor, unless more than MaxEjected percent
+// of its pool would then be ejected.
 func (r *Registry) eject(t *Target) {
 	now := time.Now()
 	all, out := 0, 0
@@ -281,31 +281,31 @@
 	t.failures = 0
 }
 
-// SpendRetry spends from the retry budget; false means that it is used up.
+// SpendRetry takes one retry from the retry budget and reports false if it is exhausted.
 func (r *Registry) SpendRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.tokens < 1 {
+	if r.retryTokens < 1 {
 		return false
 	}
-	r.tokens--
+	r.retryTokens--
 	return true
 }
 
-// EarnRetry adds to the retry budget for a request.
+// EarnRetry credits the retry budget for one request.
 func (r *Registry) EarnRetry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tokens = min(r.tokens+float64(r.cfg.RetryBudget)/100, retryBurst)
+	r.retryTokens = min(r.retryTokens+float64(r.cfg.RetryBudget)/100, maxRetryTokens)
 }
 
-// usable says whether a target may get new work.
+// usable reports whether a target may get new requests.
 func (r *Registry) usable(t *Target) bool {
 	now := time.Now()
 	return t.listed && !t.leaving() && now.After(t.avoidUntil) && now.After(t.ejected)
 }
 
-// best picks the target with the least load that has room, nil if none has.
+// best returns the least loaded target that has room, or nil.
 func (r *Registry) best(w Want) *Target {
 	var best *Target
 	var least float64
@@ -314,7 +314,7 @@
 		if t.Pool != w.Pool || w.Exclude[t.Name] || !r.usable(t) {
 			continue
 		}
-		if !t.room(w.Priority, r.sharers()) {
+		if !t.hasRoom(w.Priority, r.sharers()) {
 			continue
 		}
 		load := r.load(t, w, median)
@@ -325,17 +325,17 @@
 	return best
 }
 
-// room says whether a target can take one more from this host. A queue at the
-// target is out of our hands, so what is not urgent waits here: while there is one,
-// and beyond this host's share of the slots that the report shows as free.
-func (t *Target) room(priority, sharers int) bool {
+// hasRoom reports whether a target can take one more request of this host. Hosts have no
+// control over a queue at the target, so non-urgent requests wait here while that queue is
+// long, and beyond this host's share of the slots that the load report shows as free.
+func (t *Target) hasRoom(priority, sharers int) bool {
 	if t.outstanding >= t.Slots {
 		return false
 	}
-	if priority >= urgent {
+	if priority >= urgentPriority {
 		return true
 	}
-	if float64(t.waiting) > queueThere*float64(t.Slots) {
+	if float64(t.waiting) > maxTargetQueue*float64(t.Slots) {
 		return false
 	}
 	free := max(t.Slots-t.running-t.waiting, 0)
@@ -343,8 +343,8 @@
 	return t.outstanding < max(int(share), 1)
 }
 
-// load weighs own requests, which are known now, against the report, which is
-// late and counts those of all hosts.
+// load estimates the load of a target from this host's open requests, which are exact,
+// and from the last load report, which is stale but counts those of all hosts.
 func (r *Registry) load(t *Target, w Want, median float64) float64 {
 	busy := max(t.outstanding, t.running) + t.waiting
 	load := float64(busy) / float64(t.Slots)
@@ -352,10 +352,10 @@
 		load -= prefixBonus
 	}
 	if t.Domain != r.domain {
-		load += farWeight
+		load += otherDomainPenalty
 	}
-	if median > 0 && t.gap > slowFactor*median {
-		load += slowWeight
+	if median > 0 && t.gap > slowGapFactor*median {
+		load += slowPenalty
 	}
 	return load
 }
--- a/daemon/target/watch.go
+++ b/daemon/target/watch.go
@@ -1,5 +1,5 @@
-// Package target knows the back ends: which there are, how they do, and which
-// one takes a request.
+// Package target tracks the targets: membership, load and failures. It selects the
+// target of each request.
 package target
 
 import (
@@ -18,7 +18,7 @@
 	"maststage.dev/lib/guard"
 )
 
-// Roles of the platform's membership list.
+// Roles in the platform's membership list.
 const (
 	RoleHost    = "host"
 	RoleEngine  = "engine"
@@ -27,11 +27,11 @@
 
 const (
 	loadTimeout = time.Second
-	avoidFor    = 5 * time.Second // how long a peer's word that a target leaves counts
+	avoidFor    = 5 * time.Second // how long a peer's report that a target leaves is honoured
 )
 
-// Target is one back end as this host sees it. Fields below mu are guarded by
-// the registry's lock.
+// Target is one target as this host sees it. The unexported fields are guarded by the
+// registry's mutex.
 type Target struct {
 	Name   string
 	Addr   string
@@ -40,55 +40,55 @@
 	Slots  int
 	Client platformv1connect.TargetClient
 
-	listed      bool // in the membership list
-	listLeaves  bool // by the list
-	ownLeaves   bool // by its own last word
-	avoidUntil  time.Time
-	ejected     time.Time // until when
-	failures    int       // in a row
-	outstanding int       // ours
-	running     int       // last report
-	waiting     int
-	prefixes    map[uint64]bool
-	gap         float64 // smoothed seconds between tokens
-	busy        bool    // a load call is on its way
+	listed          bool // in the membership list
+	listedLeaving   bool // the membership list says that it is leaving
+	reportedLeaving bool // the target itself last reported that it is leaving
+	avoidUntil      time.Time
+	ejected         time.Time // end of the ejection
+	failures        int       // consecutive
+	outstanding     int       // open requests of this host
+	running         int       // as are waiting and prefixes: from the last load report
+	waiting         int
+	prefixes        map[uint64]bool
+	gap             float64 // moving average of the seconds between tokens
+	loadPending     bool    // a load call is in flight
 }
 
-// Registry holds the targets.
+// Registry holds the targets and the queues before them.
 type Registry struct {
-	cfg     settings.Targets
-	domain  string
-	members platformv1connect.MembersClient
-	every   time.Duration
-	timeout time.Duration
-	http    *http.Client
-
-	mu      sync.Mutex
-	targets map[string]*Target
-	hosts   []*platformv1.Member // of the list, with role host
-	listed  time.Time            // last good read of the list
-	pools   map[string]*pool
-	tokens  float64 // of the retry budget
+	cfg          settings.Targets
+	domain       string
+	members      platformv1connect.MembersClient
+	listInterval time.Duration
+	listTimeout  time.Duration
+	http         *http.Client
+
+	mu          sync.Mutex
+	targets     map[string]*Target
+	hosts       []*platformv1.Member // members with role host
+	listedAt    time.Time            // last successful read of the list
+	pools       map[string]*pool
+	retryTokens float64 // retries left in the retry budget
 }
 
-// NewRegistry makes an empty registry; Run starts it. domain is this host's
-// failure domain, every and timeout are those of the membership list.
+// NewRegistry returns an empty registry; Run starts it. domain is this host's failure
+// domain; every and timeout are the interval and timeout of reads of the membership list.
 func NewRegistry(cfg settings.Targets, domain string, members platformv1connect.MembersClient, every, timeout time.Duration, client *http.Client) *Registry {
 	return &Registry{
-		cfg: cfg, domain: domain, members: members, every: every, timeout: timeout, http: client,
-		targets: map[string]*Target{},
-		pools:   map[string]*pool{},
-		tokens:  retryBurst,
+		cfg: cfg, domain: domain, members: members, listInterval: every, listTimeout: timeout, http: client,
+		targets:     map[string]*Target{},
+		pools:       map[string]*pool{},
+		retryTokens: maxRetryTokens,
 	}
 }
 
-// Run watches list and targets until ctx ends.
+// Run polls the membership list and the targets' load until ctx is done.
 func (r *Registry) Run(ctx context.Context) {
-	guard.Go("membership list", func() { every(ctx, r.every, func() { r.readList(ctx) }) })
-	every(ctx, r.cfg.LoadInterval, func() { r.round(ctx) })
+	guard.Go("membership list", func() { runEvery(ctx, r.listInterval, func() { r.readList(ctx) }) })
+	runEvery(ctx, r.cfg.LoadInterval, func() { r.pollLoads(ctx) })
 }
 
-func every(ctx context.Context, d time.Duration, f func()) {
+func runEvery(ctx context.Context, d time.Duration, f func()) {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
 	for {
@@ -102,21 +102,21 @@
 }
 
 func (r *Registry) readList(ctx context.Context) {
-	c, cancel := context.WithTimeout(ctx, r.timeout)
+	c, cancel := context.WithTimeout(ctx, r.listTimeout)
 	defer cancel()
 	res, err := r.members.List(c, connect.NewRequest(&platformv1.ListRequest{}))
 	if err != nil {
-		log.WithError(err).Debug("can't read the membership list")
+		log.WithError(err).Debug("reading the membership list failed")
 		return
 	}
-	r.take(res.Msg.Members)
+	r.applyList(res.Msg.Members)
 }
 
-// take brings the registry in line with the list.
-func (r *Registry) take(members []*platformv1.Member) {
+// applyList updates the registry from the membership list.
+func (r *Registry) applyList(members []*platformv1.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listed = time.Now()
+	r.listedAt = time.Now()
 	r.hosts = r.hosts[:0]
 	seen := map[string]bool{}
 	for _, m := range members {
@@ -125,7 +125,7 @@
 			continue
 		}
 		seen[m.Name] = true
-		r.takeOne(m)
+		r.applyMember(m)
 	}
 	for name, t := range r.targets {
 		t.listed = seen[name]
@@ -135,7 +135,7 @@
 	}
 }
 
-func (r *Registry) takeOne(m *platformv1.Member) {
+func (r *Registry) applyMember(m *platformv1.Member) {
 	t := r.targets[m.Name]
 	if t == nil || t.Addr != m.Address {
 		t = &Target{
@@ -145,20 +145,20 @@
 		r.targets[m.Name] = t
 	}
 	t.listed = true
-	t.listLeaves = m.Leaving
+	t.listedLeaving = m.Leaving
 }
 
-// HostDelisted says whether a fresh membership list no longer has a host.
+// HostDelisted reports whether the membership list lacks a host. It is false if the list is stale.
 func (r *Registry) HostDelisted(host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.listed) > 4*r.every+r.timeout {
+	if time.Since(r.listedAt) > 4*r.listInterval+r.listTimeout {
 		return false
 	}
 	return !slices.ContainsFunc(r.hosts, func(m *platformv1.Member) bool { return m.Name == host })
 }
 
-// Hosts lists the peer addresses that the platform knows.
+// Hosts returns the peer addresses in the membership list.
 func (r *Registry) Hosts() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,42 +169,42 @@
 	return addrs
 }
 
-// round asks each target for its load.
-func (r *Registry) round(ctx context.Context) {
+// pollLoads asks each target for its load and dispatches the queues.
+func (r *Registry) pollLoads(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.targets {
-		if t.busy {
+		if t.loadPending {
 			continue
 		}
-		t.busy = true
-		guard.Go("load report", func() { r.askLoad(ctx, t) })
+		t.loadPending = true
+		guard.Go("load report", func() { r.pollLoad(ctx, t) })
 	}
 	for _, p := range r.pools {
-		r.serve(p)
+		r.dispatch(p)
 	}
 }
 
-func (r *Registry) askLoad(ctx context.Context, t *Target) {
+func (r *Registry) pollLoad(ctx context.Context, t *Target) {
 	c, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	res, err := t.Client.Load(c, connect.NewRequest(&platformv1.LoadRequest{}))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.busy = false
+	t.loadPending = false
 	if err != nil {
 		return
 	}
 	t.running = int(res.Msg.Running)
 	t.waiting = int(res.Msg.Waiting)
-	t.ownLeaves = res.Msg.Leaving
+	t.reportedLeaving = res.Msg.Leaving
 	t.prefixes = make(map[uint64]bool, len(res.Msg.Prefixes))
 	for _, p := range res.Msg.Prefixes {
 		t.prefixes[p] = true
 	}
 }
 
-// Avoid takes a peer's word that targets are leaving.
+// Avoid takes targets out of selection for a while because a peer reports them as leaving.
 func (r *Registry) Avoid(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// Leaving lists the targets that this host itself knows to be leaving.
+// Leaving returns the targets that are leaving by the list or by their own report.
 func (r *Registry) Leaving() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,4 +228,4 @@
 	return names
 }
 
-func (t *Target) leaving() bool { return t.listLeaves || t.ownLeaves }
+func (t *Target) leaving() bool { return t.listedLeaving || t.reportedLeaving }
