--- a/daemon/peer/detector.go
+++ b/daemon/peer/detector.go
@@ -12,40 +12,40 @@
 	"maststage.dev/lib/rendezvous"
 )
 
-// View lists the members of the fold's view.
+// View is the membership view.
 type View interface {
 	Members() []view.Member
 	Epoch() uint64
 }
 
-// Detector sends heartbeats to the members of its region and notes who is
-// silent. Its word decides nothing by itself: an eviction goes through the log.
+// Detector is the failure detector: it sends heartbeats to the members of its region
+// and suspects silent ones. It only requests evictions; the log decides on them.
 type Detector struct {
 	self     string // incarnation
 	region   string
 	view     View
 	pool     *Pool
 	status   func() *peerv1.Status
-	gone     func(host string) bool // the platform no longer lists the host
+	delisted func(host string) bool // the host is no longer in the platform's membership list
 	evict    func(inc string, epoch uint64)
 	interval time.Duration
 	suspect  time.Duration
 	timeout  time.Duration
 
-	mu    sync.Mutex
-	peers map[string]*heard
-	asked uint64 // epoch in which an eviction was asked for
+	mu            sync.Mutex
+	peers         map[string]*peerState
+	evictionEpoch uint64 // latest epoch in which an eviction was requested
 }
 
-// heard is what is known of a peer.
-type heard struct {
-	since  time.Time // first seen in the view
-	last   time.Time // last status
-	busy   bool      // a heartbeat is on its way
-	status *peerv1.Status
+// peerState is what the detector knows of a peer.
+type peerState struct {
+	since   time.Time // first seen in the view
+	last    time.Time // last status
+	pending bool      // a heartbeat is in flight
+	status  *peerv1.Status
 }
 
-// Options are the parts and times a detector needs.
+// Options configures a Detector.
 type Options struct {
 	Self, Region                    string
 	View                            View
@@ -56,16 +56,16 @@
 	Interval, SuspectAfter, Timeout time.Duration
 }
 
-// NewDetector makes a detector; Run starts it.
+// NewDetector returns a detector; Run starts it.
 func NewDetector(o Options) *Detector {
 	return &Detector{
-		self: o.Self, region: o.Region, view: o.View, pool: o.Pool, status: o.Status, gone: o.HostDelisted,
+		self: o.Self, region: o.Region, view: o.View, pool: o.Pool, status: o.Status, delisted: o.HostDelisted,
 		evict: o.Evict, interval: o.Interval, suspect: o.SuspectAfter, timeout: o.Timeout,
-		peers: map[string]*heard{},
+		peers: map[string]*peerState{},
 	}
 }
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats until ctx is done.
 func (d *Detector) Run(ctx context.Context) {
 	tick := time.NewTicker(d.interval)
 	defer tick.Stop()
@@ -78,16 +78,16 @@
 		}
 		now := time.Now()
 		if now.Sub(last) > d.suspect/2 {
-			d.paused(now)
+			d.resetSilence(now)
 		}
 		last = now
 		d.round(ctx, now)
 	}
 }
 
-// paused forgives all peers after this process itself stood still: their
-// silence was ours.
-func (d *Detector) paused(now time.Time) {
+// resetSilence counts all peers as just heard of, after this process itself stalled: it
+// could not receive their heartbeats.
+func (d *Detector) resetSilence(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, h := range d.peers {
@@ -103,27 +103,27 @@
 		if m.Incarnation == d.self || m.Region != d.region {
 			continue
 		}
-		d.beat(ctx, m, now)
+		d.sendHeartbeat(ctx, m, now)
 	}
 	d.pool.Keep(wanted)
-	d.forget(members)
-	d.judge(members, now)
+	d.forgetFormerMembers(members)
+	d.requestEviction(members, now)
 }
 
-// beat sends one heartbeat unless one is on its way.
-func (d *Detector) beat(ctx context.Context, m view.Member, now time.Time) {
+// sendHeartbeat sends a heartbeat unless one is in flight.
+func (d *Detector) sendHeartbeat(ctx context.Context, m view.Member, now time.Time) {
 	d.mu.Lock()
 	h := d.peers[m.Incarnation]
 	if h == nil {
-		h = &heard{since: now, last: now}
+		h = &peerState{since: now, last: now}
 		d.peers[m.Incarnation] = h
 	}
-	// A heartbeat carries both statuses, so one of each pair need send it.
-	if h.busy || h.status != nil && now.Sub(h.last) < d.interval*9/10 {
+	// A heartbeat exchanges both statuses, so only one host of a pair needs to send it.
+	if h.pending || h.status != nil && now.Sub(h.last) < d.interval*9/10 {
 		d.mu.Unlock()
 		return
 	}
-	h.busy = true
+	h.pending = true
 	d.mu.Unlock()
 	guard.Go("heartbeat", func() {
 		c, cancel := context.WithTimeout(ctx, d.timeout)
@@ -135,7 +135,7 @@
 			}
 		}
 		d.mu.Lock()
-		h.busy = false
+		h.pending = false
 		d.mu.Unlock()
 		if got != nil {
 			d.Heard(got)
@@ -143,7 +143,7 @@
 	})
 }
 
-// Heard notes the status of a peer.
+// Heard records the status of a peer.
 func (d *Detector) Heard(s *peerv1.Status) {
 	if s == nil {
 		return
@@ -156,7 +156,7 @@
 	}
 }
 
-func (d *Detector) forget(members []view.Member) {
+func (d *Detector) forgetFormerMembers(members []view.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for inc := range d.peers {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Suspects lists members not heard of for long.
+// Suspects returns the members silent for longer than SuspectAfter.
 func (d *Detector) Suspects() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +184,7 @@
 	return out
 }
 
-// Silent says whether a member is suspected here.
+// Silent reports whether this host suspects a member.
 func (d *Detector) Silent(inc string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,7 +192,7 @@
 	return h != nil && time.Since(h.last) > d.suspect
 }
 
-// Last gives the last status of a member, nil if there was none.
+// Last returns the last status of a member, or nil.
 func (d *Detector) Last(inc string) *peerv1.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,21 +202,21 @@
 	return nil
 }
 
-// judge asks for the eviction of a suspect, one in an epoch. It takes fewer
-// than half of the members suspected, or the platform's word that the host is
-// gone, so that the smaller side of a cut evicts nobody; and a second witness
-// where there is one. One of the witnesses asks, chosen by hash.
-func (d *Detector) judge(members []view.Member, now time.Time) {
+// requestEviction requests the eviction of at most one suspect per epoch. Fewer than half of
+// the members must be suspected, or the platform's list must lack the host, so that the
+// minority side of a network partition evicts nobody. A second witness is needed unless no
+// other member is heard of. One of the witnesses, chosen by hash, sends the request.
+func (d *Detector) requestEviction(members []view.Member, now time.Time) {
 	epoch := d.view.Epoch()
 	d.mu.Lock()
 	suspects := d.suspects(now)
 	target := ""
 	for _, inc := range suspects {
-		if d.asked >= epoch || !d.mayEvict(inc, suspects, members) {
+		if d.evictionEpoch >= epoch || !d.mayEvict(inc, suspects, members) {
 			continue
 		}
 		target = inc
-		d.asked = epoch
+		d.evictionEpoch = epoch
 		break
 	}
 	d.mu.Unlock()
@@ -230,7 +230,7 @@
 	if i < 0 {
 		return false
 	}
-	if 2*len(suspects) >= len(members) && !d.gone(members[i].Host) {
+	if 2*len(suspects) >= len(members) && !d.delisted(members[i].Host) {
 		return false
 	}
 	witnesses := []string{d.self}
--- a/daemon/peer/pool.go
+++ b/daemon/peer/pool.go
@@ -1,5 +1,5 @@
-// Package peer is how hosts talk: the calls between them, the heartbeats, and
-// the eviction of hosts that fell silent.
+// Package peer implements the RPCs between hosts, the heartbeats and the eviction of
+// silent hosts.
 package peer
 
 import (
@@ -20,41 +20,41 @@
 
 const (
 	secretKey  = "maststage-secret"
-	maxMessage = 64 << 20 // bytes; a state is the largest
+	maxMessage = 64 << 20 // bytes; an encoded state is the largest message
 )
 
-// Pool keeps a connection for each address.
+// Pool keeps one connection per address.
 type Pool struct {
 	secret string
-	via    map[string]string // addresses reached by way of others
+	via    map[string]string // address to dial instead, by address
 
 	mu    sync.Mutex
 	conns map[string]*conn
 }
 
-// conn is a connection, and since when its address is not in the view.
+// conn is a connection and the time since which its address is not in the view.
 type conn struct {
 	*grpc.ClientConn
 	unwanted time.Time
 }
 
-// keepUnwanted is how long a connection outlives its host's place in the view:
-// streams to a host that was evicted while alive go on.
+// keepUnwanted is how long a connection stays open after its host left the view, so that
+// streams to a host that was evicted while alive can continue.
 const keepUnwanted = time.Minute
 
-// NewPool makes a pool; secret is shared by all hosts, via gives the address to
-// dial for those that are not reached directly.
+// NewPool returns a pool. secret is shared by all hosts; via maps the addresses that are
+// not reached directly to the addresses to dial.
 func NewPool(secret string, via map[string]string) *Pool {
 	return &Pool{secret: secret, via: via, conns: map[string]*conn{}}
 }
 
-// Client gives a client for an address.
+// Client returns a client for an address.
 func (p *Pool) Client(addr string) (peerv1.PeerClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.conns[addr]
 	if c == nil {
-		cc, err := grpc.NewClient("passthrough:///"+p.dialed(addr),
+		cc, err := grpc.NewClient("passthrough:///"+p.dialAddress(addr),
 			grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithPerRPCCredentials(secret(p.secret)),
 			grpc.WithConnectParams(connectParams),
@@ -68,7 +68,7 @@
 	return peerv1.NewPeerClient(c.ClientConn), nil
 }
 
-// Keep closes the connections of addresses that were not wanted for a while.
+// Keep closes the connections to addresses that have not been wanted for keepUnwanted.
 func (p *Pool) Keep(wanted map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// secret goes with each call between hosts.
+// secret is sent as metadata with each call between hosts.
 type secret string
 
 func (s secret) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
@@ -95,8 +95,8 @@
 
 func (s secret) RequireTransportSecurity() bool { return false }
 
-// check refuses calls that don't carry the secret.
-func check(ctx context.Context, want string) error {
+// authenticate rejects calls that don't carry the secret.
+func authenticate(ctx context.Context, want string) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	got := md.Get(secretKey)
 	if len(got) != 1 || subtle.ConstantTimeCompare([]byte(got[0]), []byte(want)) != 1 {
--- a/daemon/peer/probe.go
+++ b/daemon/peer/probe.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Presence is what a new connection shows of another host's process. A time-out alone tells a
-// process that stands still neither from one that ended nor from a cut.
+// Presence is the state of another host's process as a new connection shows it. A timeout alone
+// can't tell a stalled process from one that exited or from a network partition.
 type Presence int
 
-// What there is at an address.
+// Results of a probe.
 const (
-	Answers     Presence = iota // the process sends
-	Stalled                     // the system takes connections, the process says nothing
-	Gone                        // nobody listens: the process has ended
-	Unreachable                 // nothing answers: a cut, or a machine that is off
+	Answers     Presence = iota // the process sends data
+	Stalled                     // the kernel accepts the connection, the process sends nothing
+	Gone                        // nobody listens: the process has exited
+	Unreachable                 // no reply: a network partition, or a machine that is off
 )
 
 func (p Presence) String() string {
 	return [...]string{"answers", "stalled", "gone", "unreachable"}[p]
 }
 
-// probeTime bounds each step of a probe: the connection, and the first bytes, which a gRPC
-// server sends without being asked.
-const probeTime = 400 * time.Millisecond
+// probeTimeout bounds each step of a probe: the connect, and the first bytes, which a gRPC
+// server sends unprompted.
+const probeTimeout = 400 * time.Millisecond
 
-// Probe looks what there is at an address.
+// Probe reports the state of the process at an address.
 func (p *Pool) Probe(ctx context.Context, addr string) Presence {
-	c, err := (&net.Dialer{Timeout: probeTime}).DialContext(ctx, "tcp", p.dialed(addr))
+	c, err := (&net.Dialer{Timeout: probeTimeout}).DialContext(ctx, "tcp", p.dialAddress(addr))
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return Gone
 	}
@@ -39,7 +39,7 @@
 		return Unreachable
 	}
 	defer c.Close()
-	if err := c.SetReadDeadline(time.Now().Add(probeTime)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(probeTimeout)); err != nil {
 		return Unreachable
 	}
 	var first [1]byte
@@ -53,8 +53,8 @@
 	return Gone
 }
 
-// dialed is the address to dial for one.
-func (p *Pool) dialed(addr string) string {
+// dialAddress returns the address to dial for addr.
+func (p *Pool) dialAddress(addr string) string {
 	if other, ok := p.via[addr]; ok {
 		return other
 	}
--- a/daemon/peer/probe_test.go
+++ b/daemon/peer/probe_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A process that stands still is told from one that ended and from one that answers: its system
-// takes connections, and nothing comes.
+// A probe distinguishes a stalled process, whose kernel accepts connections though nothing is
+// sent, from one that exited and from one that responds.
 func TestProbe(t *testing.T) {
 	is := is.New(t)
 	pool := NewPool("a-secret-of-hosts-only", nil)
@@ -34,7 +34,7 @@
 	is.NoErr(ended.Close())
 	is.Equal(probe(ended), Gone)
 
-	ending := listen() // as a proxy does before a process that ended
+	ending := listen() // as a proxy does in front of a process that exited
 	defer ending.Close()
 	go func() {
 		if c, err := ending.Accept(); err == nil {
