--- a/daemon/node/links.go
+++ b/daemon/node/calls.go
@@ -24,26 +24,26 @@
 
 const (
 	stateTimeout = 10 * time.Second
-	// longestRead bounds a read of the log whose bytes keep coming: 500 entries over a thin
-	// link. It would begin at the same entry again.
-	longestRead = 30 * time.Second
-	borrowPeers = 6 // most hosts asked for one loan
+	// maxReadTime bounds a read of the log that keeps receiving bytes: 500 entries over a slow link.
+	// A read that is cut off starts at the same entry again.
+	maxReadTime  = 30 * time.Second
+	maxLoanPeers = 6 // maximum number of hosts asked for one loan
 )
 
-// platform reaches the platform's log, for appends through another host if
-// need be.
+// platform is the client of the platform's log. If an append fails, it is relayed through
+// another host.
 type platform struct {
 	log  platformv1connect.LogClient
 	node *Node
 }
 
-// newPlatform reaches the log of a node's settings.
+// newPlatform returns a client of the log that the settings name.
 func newPlatform(n *Node) *platform {
-	return &platform{log: platformv1connect.NewLogClient(webClient(n.cfg), "http://"+n.cfg.Platform.Log), node: n}
+	return &platform{log: platformv1connect.NewLogClient(newHTTPClient(n.cfg), "http://"+n.cfg.Platform.Log), node: n}
 }
 
-// webClient makes calls to the platform and to targets.
-func webClient(cfg *settings.Settings) *http.Client {
+// newHTTPClient returns the client for calls to the platform and to targets.
+func newHTTPClient(cfg *settings.Settings) *http.Client {
 	return &http.Client{Transport: patience.Transport(&http.Transport{
 		MaxIdleConnsPerHost: maxConns,
 		IdleConnTimeout:     time.Minute,
@@ -51,9 +51,9 @@
 	})}
 }
 
-// Append appends to the log. An error leaves open whether it took effect.
+// Append appends to the log. After an error the entry may have been appended or not.
 func (p *platform) Append(ctx context.Context, data []byte) error {
-	err := p.direct(ctx, data)
+	err := p.appendDirect(ctx, data)
 	if err == nil {
 		return nil
 	}
@@ -73,15 +73,15 @@
 	return err
 }
 
-func (p *platform) direct(ctx context.Context, data []byte) error {
+func (p *platform) appendDirect(ctx context.Context, data []byte) error {
 	_, err := p.log.Append(ctx, connect.NewRequest(&platformv1.AppendRequest{Data: data}))
 	return err
 }
 
-// Read reads the log.
+// Read reads entries from an offset and waits up to wait for the first one.
 func (p *platform) Read(ctx context.Context, from uint64, max uint32, wait time.Duration) (*platformv1.ReadResponse, error) {
 	timeout := p.node.cfg.Platform.Timeout
-	ctx, cancel := patience.New(ctx, patience.Limits{First: wait + timeout, Silence: timeout, Most: wait + longestRead})
+	ctx, cancel := patience.New(ctx, patience.Limits{First: wait + timeout, Silence: timeout, Most: wait + maxReadTime})
 	defer cancel()
 	r, err := p.log.Read(ctx, connect.NewRequest(&platformv1.ReadRequest{
 		From: from, Max: max, WaitMs: uint32(wait.Milliseconds()),
@@ -92,7 +92,7 @@
 	return r.Msg, nil
 }
 
-// Tail reads the log's recent entries from the peer that is furthest.
+// Tail reads recent log entries from the responsive peer with the highest offset.
 func (p *platform) Tail(ctx context.Context, from uint64) ([]*peerv1.TailEntry, error) {
 	var best view.Member
 	var offset uint64
@@ -110,16 +110,16 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := client.Tail(c, &peerv1.TailRequest{From: from, Max: tailMax})
+	r, err := client.Tail(c, &peerv1.TailRequest{From: from, Max: maxTailEntries})
 	if err != nil {
 		return nil, err
 	}
 	return r.Entries, nil
 }
 
-const tailMax = 500
+const maxTailEntries = 500
 
-// State copies the fold of a host that the platform lists.
+// State fetches the replicated state from a host in the platform's membership list.
 func (p *platform) State(ctx context.Context) ([]byte, error) {
 	addrs := p.node.registry.Hosts()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
@@ -150,17 +150,17 @@
 	return r.State, nil
 }
 
-// links are the calls of one incarnation to other hosts.
-type links struct {
+// peerCalls makes the calls of one incarnation to other hosts.
+type peerCalls struct {
 	inc    string
 	node   *Node
-	ledger *ledger.Ledger // of the same incarnation: a loan is credited there
+	ledger *ledger.Ledger // of the same incarnation; loans are credited to it
 }
 
-func (n *Node) links(inc string) *links { return &links{inc: inc, node: n} }
+func (n *Node) newPeerCalls(inc string) *peerCalls { return &peerCalls{inc: inc, node: n} }
 
-// ClaimAt asks one replica, which may be this host.
-func (l *links) ClaimAt(ctx context.Context, m view.Member, r *peerv1.ClaimRequest) (claim.Answer, error) {
+// ClaimAt sends a claim to one replica, which may be this host.
+func (l *peerCalls) ClaimAt(ctx context.Context, m view.Member, r *peerv1.ClaimRequest) (claim.Answer, error) {
 	if m.Incarnation == l.inc {
 		reg := l.node.current.Load().Register
 		if r.Release {
@@ -182,16 +182,16 @@
 	return claim.Answer{Granted: res.Granted, Epoch: res.Epoch, Claimant: res.Claimant}, nil
 }
 
-// holders is how many other hosts hold a bill that is not in the log yet.
-const holders = 2
+// billHolders is the number of other hosts that hold a bill until it is in the log.
+const billHolders = 2
 
-// Hold asks other hosts to hold a bill, those of other failure domains first,
-// until two do; fewer are enough if no more can be reached.
-func (l *links) Hold(ctx context.Context, b *peerv1.Bill) error {
-	candidates := l.node.farFirst()
+// Hold asks other hosts to hold a bill, those of other failure domains first, until two
+// do. One is enough if no more are reachable; with none it fails.
+func (l *peerCalls) Hold(ctx context.Context, b *peerv1.Bill) error {
+	candidates := l.node.holderCandidates()
 	held := 0
-	for held < holders && len(candidates) > 0 {
-		n := min(holders-held, len(candidates))
+	for held < billHolders && len(candidates) > 0 {
+		n := min(billHolders-held, len(candidates))
 		held += l.holdAll(ctx, candidates[:n], b)
 		candidates = candidates[n:]
 	}
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// holdAll asks hosts at the same time and counts those that hold.
-func (l *links) holdAll(ctx context.Context, members []view.Member, b *peerv1.Bill) int {
+// holdAll asks hosts concurrently to hold a bill and returns how many do.
+func (l *peerCalls) holdAll(ctx context.Context, members []view.Member, b *peerv1.Bill) int {
 	results := make(chan error, len(members))
 	for _, m := range members {
 		guard.Go("bill holder", func() { results <- l.holdAt(ctx, m, b) })
@@ -216,7 +216,7 @@
 	return held
 }
 
-func (l *links) holdAt(ctx context.Context, m view.Member, b *peerv1.Bill) error {
+func (l *peerCalls) holdAt(ctx context.Context, m view.Member, b *peerv1.Bill) error {
 	c, cancel := context.WithTimeout(ctx, l.node.cfg.Peers.Timeout)
 	defer cancel()
 	client, err := l.node.pool.Client(m.Address)
@@ -227,11 +227,11 @@
 	return err
 }
 
-// Borrow asks other hosts for tokens until it has enough.
-func (l *links) Borrow(ctx context.Context, budget string, tokens uint64) uint64 {
+// Borrow asks other hosts in turn for a loan and returns the tokens that it got.
+func (l *peerCalls) Borrow(ctx context.Context, budget string, tokens uint64) uint64 {
 	var got uint64
 	for i, m := range l.node.others() {
-		if i >= borrowPeers || got >= tokens {
+		if i >= maxLoanPeers || got >= tokens {
 			break
 		}
 		if l.node.detector().Silent(m.Incarnation) {
@@ -242,7 +242,7 @@
 	return got
 }
 
-func (l *links) borrowAt(ctx context.Context, m view.Member, budget string, tokens uint64) uint64 {
+func (l *peerCalls) borrowAt(ctx context.Context, m view.Member, budget string, tokens uint64) uint64 {
 	c, cancel := context.WithTimeout(ctx, l.node.cfg.Peers.Timeout)
 	defer cancel()
 	client, err := l.node.pool.Client(m.Address)
@@ -258,7 +258,7 @@
 	return r.Tokens
 }
 
-// others lists the other members of this host's region, in random order.
+// others returns the other members of this host's region in random order.
 func (n *Node) others() []view.Member {
 	self := n.current.Load()
 	var out []view.Member
@@ -271,8 +271,9 @@
 	return out
 }
 
-// farFirst is the others that are heard of, in the order in which they are to hold a bill.
-func (n *Node) farFirst() []view.Member {
+// holderCandidates returns the other members that are not suspected, in the order in which they
+// are asked to hold a bill.
+func (n *Node) holderCandidates() []view.Member {
 	var heard []view.Member
 	for _, m := range n.others() {
 		if !n.detector().Silent(m.Incarnation) {
@@ -282,8 +283,8 @@
 	return holderOrder(heard, n.cfg.Host.Domain)
 }
 
-// holderOrder puts one member of each failure domain but the own in front and members
-// that are leaving at the end: a planned stop waits until the host holds nothing.
+// holderOrder puts one member of each other failure domain first and leaving members
+// last, because a graceful shutdown waits until the host holds no bill.
 func holderOrder(members []view.Member, own string) []view.Member {
 	var far, near, leaving []view.Member
 	seen := map[string]bool{own: true}
--- a/daemon/node/drain.go
+++ b/daemon/node/drain.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	drainPoll     = 50 * time.Millisecond
-	closeTimeout  = 2 * time.Second
-	hangUpTimeout = 5 * time.Second
+	drainPoll          = 50 * time.Millisecond
+	peerCloseTimeout   = 2 * time.Second
+	callerCloseTimeout = 5 * time.Second
 )
 
-// Stop begins a planned stop; it returns at once.
+// Stop starts a graceful shutdown and returns at once.
 func (n *Node) Stop() {
 	n.stopOnce.Do(func() {
-		log.Info("planned stop")
+		log.Info("graceful shutdown started")
 		close(n.stopping)
 	})
 }
 
-// Draining says whether a planned stop has begun.
+// Draining reports whether a graceful shutdown has started.
 func (n *Node) Draining() bool {
 	select {
 	case <-n.stopping:
@@ -33,13 +33,13 @@
 	}
 }
 
-// drain takes no new work, lets what is open finish or move, and hands over
-// all that this host owns: ids, claims, bills and tokens.
+// drain accepts no new requests, lets open ones finish or move, and hands over
+// everything that this host owns: ids, claims, bills and tokens.
 func (n *Node) drain(ctx context.Context) {
 	id := n.current.Load()
 	put := func(r *peerv1.Record) {
 		if err := id.writer.Put(r); err != nil {
-			log.WithError(err).Error("can't log the stop")
+			log.WithError(err).Error("queueing the leave record failed")
 		}
 	}
 	steps := log.Fields{}
@@ -48,40 +48,40 @@
 		do()
 		steps[name] = time.Since(begun).Round(time.Millisecond)
 	}
-	put(leave(false))
+	put(leaveRecord(false))
 	n.http.Leave()
 	close(n.leaving)
-	step("requests", func() { n.finishRequests(ctx) })
-	step("connections", n.hangUp)
+	step("requests", func() { n.waitForRequests(ctx) })
+	step("connections", n.closeCallerConns)
 	step("handover", func() {
 		n.waitFor(ctx, func() bool { return !id.Ledger.ReturnAll() && id.Bills.Held() == 0 && id.Register.Held() == 0 })
 	})
-	put(leave(true))
+	put(leaveRecord(true))
 	step("log", func() { n.waitFor(ctx, func() bool { return id.writer.Waiting() == 0 }) })
 	step("hosts", func() {
-		closed := time.AfterFunc(closeTimeout, n.grpc.Stop)
+		closed := time.AfterFunc(peerCloseTimeout, n.grpc.Stop)
 		defer closed.Stop()
 		n.grpc.GracefulStop()
 	})
-	log.WithFields(steps).Info("stopped")
+	log.WithFields(steps).Info("graceful shutdown complete")
 }
 
-// hangUp ends the connections of callers, once what came on them is answered.
-func (n *Node) hangUp() {
-	ctx, cancel := context.WithTimeout(context.Background(), hangUpTimeout)
+// closeCallerConns closes the callers' connections after the requests on them are served.
+func (n *Node) closeCallerConns() {
+	ctx, cancel := context.WithTimeout(context.Background(), callerCloseTimeout)
 	defer cancel()
 	if err := n.http.Shutdown(ctx); err != nil {
-		log.WithError(err).Warn("callers' connections were still open")
+		log.WithError(err).Warn("closing callers' connections failed")
 	}
 }
 
-func leave(final bool) *peerv1.Record {
+func leaveRecord(final bool) *peerv1.Record {
 	return &peerv1.Record{Kind: &peerv1.Record_Leave{Leave: &peerv1.Leave{Final: final}}}
 }
 
-// finishRequests waits until no request is open here. After the setting
-// drain_limit, if there is one, requests that can go on elsewhere are moved.
-func (n *Node) finishRequests(ctx context.Context) {
+// waitForRequests waits until this host has no open request. After drain_limit, if it is
+// set, requests that can continue on another host are moved.
+func (n *Node) waitForRequests(ctx context.Context) {
 	var limit <-chan time.Time
 	if d := n.cfg.Requests.DrainLimit; d > 0 {
 		t := time.NewTimer(d)
--- a/daemon/node/duties.go
+++ b/daemon/node/handlers.go
@@ -12,56 +12,56 @@
 	"maststage.dev/lib/errkind"
 )
 
-// duties is what this host does for its peers.
-type duties struct{ node *Node }
+// peerHandler serves the calls of other hosts.
+type peerHandler struct{ node *Node }
 
-// Execute runs or joins a request.
-func (d duties) Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteResponse) error) error {
+// Execute starts or joins a request.
+func (d peerHandler) Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteResponse) error) error {
 	return d.node.engine.Execute(ctx, req, send)
 }
 
-// Claim answers as a replica.
-func (d duties) Claim(id, claimant string, epoch uint64) claim.Answer {
+// Claim grants or denies a claim as a replica of the id.
+func (d peerHandler) Claim(id, claimant string, epoch uint64) claim.Answer {
 	return d.node.current.Load().Register.Claim(id, claimant, epoch)
 }
 
-// Release takes a claim back.
-func (d duties) Release(id, claimant string) {
+// Release drops a claim.
+func (d peerHandler) Release(id, claimant string) {
 	d.node.current.Load().Register.Release(id, claimant)
 }
 
 // Hold keeps a bill for another host.
-func (d duties) Hold(b *peerv1.Bill) { d.node.current.Load().Bills.Hold(b) }
+func (d peerHandler) Hold(b *peerv1.Bill) { d.node.current.Load().Bills.Hold(b) }
 
-// Lend gives tokens to another host.
-func (d duties) Lend(id, to, budget string, tokens uint64) uint64 {
+// Lend lends tokens to another host and returns how many.
+func (d peerHandler) Lend(id, to, budget string, tokens uint64) uint64 {
 	return d.node.current.Load().Ledger.Lend(id, to, budget, tokens)
 }
 
-// Recent serves the log's recent entries.
-func (d duties) Recent(from uint64, max int) ([]*peerv1.TailEntry, uint64) {
+// Recent returns recent entries of the log.
+func (d peerHandler) Recent(from uint64, max int) ([]*peerv1.TailEntry, uint64) {
 	return d.node.tailer.Recent(from, max)
 }
 
-// State copies the fold.
-func (d duties) State() ([]byte, error) { return d.node.store.Encode() }
+// State returns an encoded copy of the replicated state.
+func (d peerHandler) State() ([]byte, error) { return d.node.store.Encode() }
 
-// Relay appends for a host that can't reach the log.
-func (d duties) Relay(ctx context.Context, data []byte) error {
-	return d.node.platform.direct(ctx, data)
+// Relay appends to the log for a host that can't reach it.
+func (d peerHandler) Relay(ctx context.Context, data []byte) error {
+	return d.node.platform.appendDirect(ctx, data)
 }
 
-// Status is sent with heartbeats.
-func (d duties) Status() *peerv1.Status { return d.node.status() }
+// Status returns the status that heartbeats carry.
+func (d peerHandler) Status() *peerv1.Status { return d.node.status() }
 
-// Heard takes in a peer's heartbeat.
-func (d duties) Heard(s *peerv1.Status) {
+// Heard records a peer's heartbeat.
+func (d peerHandler) Heard(s *peerv1.Status) {
 	d.node.detector().Heard(s)
 	d.node.registry.Avoid(s.GetAvoid())
 }
 
-// Stop begins a planned stop.
-func (d duties) Stop() { d.node.Stop() }
+// Stop starts a graceful shutdown.
+func (d peerHandler) Stop() { d.node.Stop() }
 
 func (n *Node) status() *peerv1.Status {
 	offset, _ := n.store.Offset()
@@ -77,25 +77,26 @@
 	return s
 }
 
-// LogUp says whether the platform's log answers reads and takes appends.
+// LogUp reports whether the platform's log serves reads and accepts appends.
 func (n *Node) LogUp() bool {
 	if !n.tailer.Up() {
 		return false
 	}
 	id := n.current.Load()
-	return id == nil || id.writer.Stuck() < stuckAfter
+	return id == nil || id.writer.Stuck() < logDownAfter
 }
 
-// stuckAfter is when a batch not seen in the log means that it is down.
-const stuckAfter = time.Second
+// logDownAfter is how long a batch may be missing from the log before the log counts
+// as unavailable.
+const logDownAfter = time.Second
 
-// Identity gives the present incarnation to the engine.
+// Identity returns the current incarnation for the engine.
 func (n *Node) Identity() *run.Identity { return &n.current.Load().Identity }
 
-// fleet serves operators.
+// fleet implements the calls that operators make.
 type fleet struct{ node *Node }
 
-// Publish logs declarations and waits until they are read back.
+// Publish appends declarations to the log and waits until they are read back.
 func (f fleet) Publish(ctx context.Context, base uint64, text string) (fold.Published, error) {
 	id := newIncarnation("publish")
 	got := f.node.awaitPublish(id)
@@ -113,7 +114,7 @@
 	}
 }
 
-// Status gives the last status of a member.
+// Status returns the last status of a member, or nil.
 func (f fleet) Status(inc string) *peerv1.Status {
 	if inc == f.node.current.Load().Incarnation {
 		return f.node.status()
@@ -121,10 +122,10 @@
 	return f.node.detector().Last(inc)
 }
 
-// Silent says whether a member was not heard of for long.
+// Silent reports whether this host suspects a member.
 func (f fleet) Silent(inc string) bool { return f.node.detector().Silent(inc) }
 
-// Stop begins a planned stop of a member.
+// Stop starts a graceful shutdown of a member.
 func (f fleet) Stop(ctx context.Context, m view.Member) error {
 	if m.Incarnation == f.node.current.Load().Incarnation {
 		f.node.Stop()
--- a/daemon/node/holders_test.go
+++ b/daemon/node/holders_test.go
@@ -8,10 +8,10 @@
 	"maststage.dev/fold/view"
 )
 
-// Bills go to hosts that stay. While other hosts went on giving theirs to one that was
-// stopping, it seldom held none when it looked, and its planned stop took up to 30 s
-// ("stopped ... handover=16.251s").
-func TestLeavingHostsHoldBillsLast(t *testing.T) {
+// Hosts that stay are asked first to hold a bill. When other hosts kept sending bills to one that
+// was shutting down, it seldom held none at a check, and its graceful shutdown took up to 30 s
+// (one log line: handover=16.251s).
+func TestLeavingHostsAreLastToHoldBills(t *testing.T) {
 	is := is.New(t)
 	order := holderOrder([]view.Member{
 		{Incarnation: "stops", Domain: "b", Leaving: true},
--- a/daemon/node/http.go
+++ b/daemon/node/http.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 16 << 10
-	messageRoom   = 64 << 10 // of a message beyond its input
+	headerTimeout   = 5 * time.Second
+	idleTimeout     = 2 * time.Minute
+	maxHeader       = 16 << 10
+	messageOverhead = 64 << 10 // bytes of a message besides its input
 )
 
-// newHTTP makes the server for callers, operators and metrics.
+// newHTTP returns the server for callers, operators and metrics.
 func (n *Node) newHTTP() *graceful.Server {
 	self := func() string { return n.current.Load().Incarnation }
 	silent := func(inc string) bool { return n.detector().Silent(inc) }
 	router := entry.NewRouter(n.cfg.Host.Region, self, n.store, n.pool, n.engine, silent)
-	limit := connect.WithReadMaxBytes(max(n.cfg.Requests.MaxInput, 1<<20) + messageRoom)
+	limit := connect.WithReadMaxBytes(max(n.cfg.Requests.MaxInput, 1<<20) + messageOverhead)
 	mux := http.NewServeMux()
 	mux.Handle(maststagev1connect.NewCallerHandler(entry.New(n.cfg.Requests, n.store, router, n.leaving), limit))
 	mux.Handle(maststagev1connect.NewOperatorHandler(operator.New(n.store, fleet{n}, n.cfg.Host.FirstKey), limit))
@@ -39,7 +39,7 @@
 	})
 }
 
-// health is for the balancer: 503 while this host is not to get new requests.
+// health serves the load balancer: 503 while this host must not get new requests.
 func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
 	version, _ := n.store.Config()
 	_, member := n.store.Member(n.current.Load().Incarnation)
@@ -50,8 +50,8 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// gauges adds what is read off the host's parts.
-func (n *Node) gauges() {
+// addGauges registers the gauges that are computed on each read of the metrics.
+func (n *Node) addGauges() {
 	number := func(name string, f func(*identity) int) {
 		n.metrics.Gauge(name, func() float64 {
 			if id := n.current.Load(); id != nil {
--- a/daemon/node/identity.go
+++ b/daemon/node/identity.go
@@ -23,29 +23,29 @@
 	incarnationLen = 6 // random bytes
 )
 
-// identity is one incarnation of this host with all that it owns.
+// identity is one incarnation of this host and the state that it owns.
 type identity struct {
 	run.Identity
 	writer *logio.Writer
 	cancel context.CancelFunc
 }
 
-// newIncarnation names an incarnation: the host's name and a random part.
+// newIncarnation returns an unused name: the host's name and a random suffix.
 func newIncarnation(host string) string {
 	b := make([]byte, incarnationLen)
 	_, _ = rand.Read(b) // never fails
 	return host + "-" + hex.EncodeToString(b)
 }
 
-// become makes this host a new incarnation and asks for its place in the view.
-func (n *Node) become(ctx context.Context) *identity {
+// newIdentity gives this host a new incarnation and requests that it join the view.
+func (n *Node) newIdentity(ctx context.Context) *identity {
 	inc := newIncarnation(n.cfg.Host.Name)
 	p := n.cfg.Platform
 	ctx, cancel := context.WithCancel(ctx)
 	w := logio.NewWriter(inc, n.platform, p.AppendInterval, p.Timeout, p.OutboxRecords)
 	n.store.Subscribe(w)
 	reg := claim.NewRegister(w, n.store)
-	peers := n.links(inc)
+	peers := n.newPeerCalls(inc)
 	id := &identity{
 		Identity: run.Identity{
 			Incarnation: inc,
@@ -63,26 +63,26 @@
 	}
 	n.current.Store(id)
 	guard.Go("log writer", func() { w.Run(ctx) })
-	guard.Go("identity", func() { n.tick(ctx, id) })
+	guard.Go("identity", func() { n.runTimers(ctx, id) })
 	h := n.cfg.Host
 	join := &peerv1.Join{Host: h.Name, Address: h.PeerAddress, Domain: h.Domain, Region: h.Region}
 	if err := w.Put(&peerv1.Record{Kind: &peerv1.Record_Join{Join: join}}); err != nil {
-		log.WithError(err).Error("can't ask to join")
+		log.WithError(err).Error("queueing the join record failed")
 	}
 	log.WithField("incarnation", inc).Info("joining the view")
 	return id
 }
 
-// sinks are the parts that follow the log, but for the writer, which is
-// subscribed before them.
+// sinks returns the subscribers to log events, except the writer, which is subscribed
+// before them.
 func (id *identity) sinks() []sink {
 	return []sink{id.Register, id.Ledger, id.Bills}
 }
 
 type sink interface{ Event(fold.Event) }
 
-// tick drives what an identity does by time.
-func (n *Node) tick(ctx context.Context, id *identity) {
+// runTimers runs the periodic work of an identity.
+func (n *Node) runTimers(ctx context.Context, id *identity) {
 	every := time.NewTicker(tickEvery)
 	defer every.Stop()
 	last := time.Now()
@@ -101,8 +101,8 @@
 	}
 }
 
-// retire lets an evicted identity finish what it began, gives its tokens back
-// and ends it. Its slices count as stranded until then.
+// retire lets an evicted identity finish its open requests, returns its tokens and stops
+// it. Its allocations count as stranded until then.
 func (n *Node) retire(ctx context.Context, old *identity) {
 	every := time.NewTicker(tickEvery)
 	defer every.Stop()
@@ -117,12 +117,12 @@
 		case <-every.C:
 		}
 	}
-	n.drop(old)
-	log.WithField("incarnation", old.Incarnation).Info("old incarnation settled")
+	n.stopIdentity(old)
+	log.WithField("incarnation", old.Incarnation).Info("evicted incarnation returned its tokens and ended")
 }
 
-// drop ends an identity at once.
-func (n *Node) drop(old *identity) {
+// stopIdentity stops an identity at once.
+func (n *Node) stopIdentity(old *identity) {
 	old.cancel()
 	n.store.Unsubscribe(old.writer)
 	for _, s := range old.sinks() {
@@ -130,9 +130,9 @@
 	}
 }
 
-// inherit queues the bills and claims of an identity that can't log them any
-// more under the present one.
-func (n *Node) inherit(old, now *identity) {
+// requeueUnlogged queues the bills and claims that an old identity can no longer append
+// under the current one.
+func (n *Node) requeueUnlogged(old, now *identity) {
 	var kept []*peerv1.Record
 	for _, r := range old.writer.Unlogged() {
 		if r.GetBill() != nil || r.GetIntent() != nil {
@@ -140,6 +140,6 @@
 		}
 	}
 	if err := now.writer.Put(kept...); err != nil {
-		log.WithError(err).Error("records of the old incarnation are lost")
+		log.WithError(err).Error("requeueing the old incarnation's records failed; they are lost")
 	}
 }
--- a/daemon/node/links_test.go
+++ b/daemon/node/loan_test.go
@@ -16,19 +16,19 @@
 	"maststage.dev/fold/view"
 )
 
-// lender is a host that lends what it is asked for and does nothing else.
+// lender is a host that lends all that it is asked for; other calls panic.
 type lender struct{ peer.Handler }
 
 func (lender) Lend(_, _, _ string, tokens uint64) uint64 { return tokens }
 
-// noBudgets knows no budget.
+// noBudgets is a budget view without budgets.
 type noBudgets struct{}
 
 func (noBudgets) Left(string) (int64, bool)   { return 0, false }
 func (noBudgets) Total(string) (uint64, bool) { return 0, false }
 func (noBudgets) Sharers() int                { return 1 }
 
-// sentRecords takes records and drops them.
+// sentRecords discards records.
 type sentRecords struct{}
 
 func (sentRecords) Put(...*peerv1.Record) error { return nil }
@@ -37,9 +37,9 @@
 	return ledger.New(inc, settings.Budgets{}, sentRecords{}, noBudgets{}, nil, func() bool { return true })
 }
 
-// A loan that an evicted incarnation asked for is credited to it alone, though
-// the host has become another one meanwhile and the log tells of the loan too.
-func TestLoanOfAnEvictedIncarnation(t *testing.T) {
+// A loan requested by an evicted incarnation is credited to that incarnation only, and once,
+// though the host already has a new incarnation and the log reports the loan too.
+func TestLoanIsCreditedToEvictedBorrowerOnly(t *testing.T) {
 	is := is.New(t)
 	const secret = "a secret of the test"
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 	n := &Node{cfg: &settings.Settings{}, pool: peer.NewPool(secret, nil)}
 	n.cfg.Peers.Timeout = 5e9
 	n.current.Store(&identity{Identity: run.Identity{Incarnation: "new", Ledger: present}})
-	l := n.links("old")
+	l := n.newPeerCalls("old")
 	l.ledger = evicted
 
 	got := l.borrowAt(context.Background(), view.Member{Address: listener.Addr().String()}, "b", 50)
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the duties of a host together and runs them.
+// Package node assembles the components of a host and runs them.
 package node
 
 import (
@@ -48,20 +48,20 @@
 	http     *graceful.Server
 	loans    atomic.Uint64
 
-	current   atomic.Pointer[identity]
-	heart     atomic.Pointer[peer.Detector]
-	startMu   sync.Mutex         // one new identity at a time
-	stopHeart context.CancelFunc // ends the heartbeats of the present identity
-	ended     chan string        // incarnations of this host that the log says have ended
-	stopping  chan struct{}
-	stopOnce  sync.Once
-	leaving   chan struct{} // closed when callers' streams are to move
+	current         atomic.Pointer[identity]
+	failureDetector atomic.Pointer[peer.Detector]
+	startMu         sync.Mutex         // serializes the creation of identities
+	stopDetector    context.CancelFunc // stops the heartbeats of the current identity
+	ended           chan string        // incarnations of this host that the log has ended
+	stopping        chan struct{}
+	stopOnce        sync.Once
+	leaving         chan struct{} // closed when callers' streams must move to another host
 
 	mu        sync.Mutex
 	published map[string]chan fold.Published
 }
 
-// New puts a host together from its settings; Run starts it.
+// New returns a host with the given settings; Run starts it.
 func New(cfg *settings.Settings) *Node {
 	n := &Node{
 		cfg:       cfg,
@@ -73,7 +73,7 @@
 		leaving:   make(chan struct{}),
 		published: map[string]chan fold.Published{},
 	}
-	web := webClient(cfg)
+	web := newHTTPClient(cfg)
 	n.platform = newPlatform(n)
 	n.tailer = logio.NewTailer(n.platform, n.platform, n.store)
 	members := platformv1connect.NewMembersClient(web, "http://"+cfg.Platform.Members)
@@ -82,15 +82,15 @@
 		Requests: cfg.Requests, Targets: cfg.Targets, Budgets: cfg.Budgets,
 		Host: n, Store: n.store, Registry: n.registry, Metrics: n.metrics,
 	})
-	n.heart.Store(n.newDetector(""))
+	n.failureDetector.Store(n.newDetector(""))
 	n.store.Subscribe(n)
-	n.grpc = peer.NewServer(duties{n}, cfg.Peers.Secret)
+	n.grpc = peer.NewServer(peerHandler{n}, cfg.Peers.Secret)
 	n.http = n.newHTTP()
-	n.gauges()
+	n.addGauges()
 	return n
 }
 
-func (n *Node) detector() *peer.Detector { return n.heart.Load() }
+func (n *Node) detector() *peer.Detector { return n.failureDetector.Load() }
 
 func (n *Node) newDetector(inc string) *peer.Detector {
 	p := n.cfg.Peers
@@ -101,7 +101,7 @@
 	})
 }
 
-// Run serves until ctx ends or a planned stop is done.
+// Run serves until ctx is done or a graceful shutdown is complete.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -109,20 +109,20 @@
 	if err := n.tailer.Bootstrap(ctx); err != nil {
 		return fmt.Errorf("reading the log: %w", err)
 	}
-	guard.Go("log tailer", func() { n.tail(ctx) })
+	guard.Go("log tailer", func() { n.followLog(ctx) })
 	select {
 	case <-n.tailer.Level():
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	n.start(ctx)
+	n.startIdentity(ctx)
 	if err := n.listen(); err != nil {
 		return err
 	}
 	guard.Go("snapshots", func() { n.snapshots(ctx) })
-	guard.Go("membership", func() { n.lifecycle(ctx) })
-	guard.Go("kept answers", func() { n.expire(ctx) })
-	guard.Go("standstills", func() { n.engine.Run(ctx) })
+	guard.Go("membership", func() { n.rejoinAfterEviction(ctx) })
+	guard.Go("response expiry", func() { n.expireResponses(ctx) })
+	guard.Go("stall detection", func() { n.engine.Run(ctx) })
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -132,18 +132,18 @@
 	return nil
 }
 
-// start makes a new identity and its detector.
-func (n *Node) start(ctx context.Context) {
+// startIdentity creates a new identity and its failure detector.
+func (n *Node) startIdentity(ctx context.Context) {
 	n.startMu.Lock()
 	defer n.startMu.Unlock()
-	id := n.become(ctx)
+	id := n.newIdentity(ctx)
 	d := n.newDetector(id.Incarnation)
-	n.heart.Store(d)
-	if n.stopHeart != nil {
-		n.stopHeart()
+	n.failureDetector.Store(d)
+	if n.stopDetector != nil {
+		n.stopDetector()
 	}
 	life, cancel := context.WithCancel(ctx)
-	n.stopHeart = cancel
+	n.stopDetector = cancel
 	guard.Go("heartbeats", func() { d.Run(life) })
 }
 
@@ -158,41 +158,41 @@
 	}
 	guard.Go("peer server", func() {
 		if err := n.grpc.Serve(pl); err != nil {
-			log.WithError(err).Error("peer server ended")
+			log.WithError(err).Error("peer server failed")
 		}
 	})
 	guard.Go("caller server", func() {
 		if err := n.http.Serve(cl); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			log.WithError(err).Error("caller server ended")
+			log.WithError(err).Error("caller server failed")
 		}
 	})
 	log.WithFields(log.Fields{"callers": n.cfg.Host.Listen, "hosts": n.cfg.Host.PeerListen}).Info("listening")
 	return nil
 }
 
-// tail follows the log. A host that the log's retention has passed takes the
-// state from elsewhere and becomes a new incarnation, for it has missed what
-// became of its own records.
-func (n *Node) tail(ctx context.Context) {
+// followLog applies the log. A host that is behind the oldest retained entry loads the
+// state anew and takes a new incarnation, because it has missed the outcome of its own
+// records.
+func (n *Node) followLog(ctx context.Context) {
 	for {
 		err := n.tailer.Run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		log.WithError(err).Warn("fell behind the log")
+		log.WithError(err).Warn("behind the oldest retained log entry; loading the state anew")
 		if n.tailer.Bootstrap(ctx) != nil {
 			return
 		}
 		if old := n.current.Load(); old != nil {
-			n.start(ctx)
-			n.inherit(old, n.current.Load())
-			n.drop(old)
+			n.startIdentity(ctx)
+			n.requeueUnlogged(old, n.current.Load())
+			n.stopIdentity(old)
 		}
 	}
 }
 
-// lifecycle makes a new identity when the view has ended the present one.
-func (n *Node) lifecycle(ctx context.Context) {
+// rejoinAfterEviction creates a new identity when the log has ended the current one.
+func (n *Node) rejoinAfterEviction(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -203,13 +203,13 @@
 				continue
 			}
 			log.WithField("incarnation", inc).Warn("evicted while alive")
-			n.start(ctx)
+			n.startIdentity(ctx)
 			guard.Go("retired identity", func() { n.retire(ctx, old) })
 		}
 	}
 }
 
-// Event hears of publishes and of this host's own end.
+// Event receives publishes and the end of this host's incarnations.
 func (n *Node) Event(e fold.Event) {
 	switch k := e.(type) {
 	case fold.Published:
@@ -243,17 +243,17 @@
 	delete(n.published, id)
 }
 
-// evict asks the log to end a silent member.
+// evict queues a request to evict a silent member.
 func (n *Node) evict(inc string, epoch uint64) {
-	log.WithField("incarnation", inc).Warn("asking to evict a silent host")
+	log.WithField("incarnation", inc).Warn("requesting the eviction of a silent host")
 	rec := &peerv1.Evict{Incarnation: inc, Epoch: epoch}
 	if err := n.current.Load().writer.Put(&peerv1.Record{Kind: &peerv1.Record_Evict{Evict: rec}}); err != nil {
-		log.WithError(err).Error("can't ask to evict")
+		log.WithError(err).Error("queueing the eviction record failed")
 	}
 }
 
-// snapshots writes the state into the log before its retention runs out. One
-// member does it, chosen by hash.
+// snapshots appends the state to the log before the log drops entries after the last
+// snapshot. One member, chosen by hash, does it.
 func (n *Node) snapshots(ctx context.Context) {
 	every := time.NewTicker(snapshotCheck)
 	defer every.Stop()
@@ -266,12 +266,12 @@
 		}
 		offset, snap := n.store.Offset()
 		due := uint64(n.cfg.Platform.SnapshotEvery)
-		if offset-snap < due || offset-asked < due || !n.chosen("snapshot") {
+		if offset-snap < due || offset-asked < due || !n.ranksFirst("snapshot") {
 			continue
 		}
 		data, err := n.store.Encode()
 		if err != nil {
-			log.WithError(err).Error("can't write a snapshot")
+			log.WithError(err).Error("encoding a snapshot failed")
 			continue
 		}
 		rec := &peerv1.Record{Kind: &peerv1.Record_Snapshot{Snapshot: &peerv1.Snapshot{State: data}}}
@@ -281,8 +281,8 @@
 	}
 }
 
-// chosen says whether this host ranks first of all members for a duty.
-func (n *Node) chosen(duty string) bool {
+// ranksFirst reports whether this host ranks first for a duty among the members not suspected.
+func (n *Node) ranksFirst(duty string) bool {
 	self := n.current.Load().Incarnation
 	best, name := uint64(0), ""
 	for _, m := range n.store.Members() {
@@ -296,7 +296,7 @@
 	return name == self
 }
 
-func (n *Node) expire(ctx context.Context) {
+func (n *Node) expireResponses(ctx context.Context) {
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
 	for {
--- a/daemon/node/thinlink_test.go
+++ b/daemon/node/thinlink_test.go
@@ -18,11 +18,10 @@
 	"maststage.dev/standin/thinlink"
 )
 
-// A host that is behind reads up to 500 entries of the log at a time. Over a link of 150 KB a
-// second 400 KB of them take 2.7 s, and a read ended after 1 s however many bytes had come: the
-// next one began at the same entry and ended no better, so that the host never caught up. It
-// was read in the code, and this is the first run that shows it.
-func TestFarBehindOverAThinLink(t *testing.T) {
+// A host that lags reads up to 500 log entries at a time; over a link of 150 KB/s, 400 KB take
+// 2.7 s. When each read was cut off after 1 s, though bytes kept arriving, the next one started
+// at the same entry, and the host never caught up.
+func TestLaggingHostCatchesUpOverSlowLink(t *testing.T) {
 	const entries, entryBytes, linkBytes = 200, 2000, 150e3
 	is := is.New(t)
 	l := logd.New(10_000, 1000)
