--- a/daemon/operator/operator.go
+++ b/daemon/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator serves the command-line tool.
+// Package operator implements the API of the command-line tool.
 package operator
 
 import (
@@ -19,40 +19,40 @@
 	"maststage.dev/lib/errkind"
 )
 
-// publishWait is how long a publish may take to be read back from the log.
+// publishWait bounds the time until a publish is read back from the log.
 const publishWait = 15 * time.Second
 
-// Fleet is what the service asks of its host.
+// Fleet is the part of the host that the service uses.
 type Fleet interface {
-	// Publish logs declarations and waits until they are read back.
+	// Publish appends declarations to the log and waits until they are read back.
 	Publish(ctx context.Context, base uint64, text string) (fold.Published, error)
-	// Status gives the last status of a member, nil if none was heard.
+	// Status returns the last status of a member, or nil.
 	Status(inc string) *peerv1.Status
 	Silent(inc string) bool
-	// Stop begins a planned stop of a member.
+	// Stop starts a graceful shutdown of a member.
 	Stop(ctx context.Context, m view.Member) error
 }
 
 // Service serves maststage.v1.Operator.
 type Service struct {
-	store *store.Store
-	fleet Fleet
-	first string // SHA-256 of the key that counts until a configuration is in force
+	store        *store.Store
+	fleet        Fleet
+	firstKeyHash string // SHA-256 of the key that is accepted until a configuration is in force
 }
 
-// New makes the service. firstKey is the hash of the key for the first publish.
+// New returns the service. firstKey is the SHA-256 of the key for the first publish.
 func New(s *store.Store, f Fleet, firstKey string) *Service {
-	return &Service{store: s, fleet: f, first: firstKey}
+	return &Service{store: s, fleet: f, firstKeyHash: firstKey}
 }
 
-// allow refuses calls without an operator's key.
-func (s *Service) allow(auth string) error {
+// authorize rejects calls without an operator's key.
+func (s *Service) authorize(auth string) error {
 	key, _ := strings.CutPrefix(auth, "Bearer ")
 	version, set := s.store.Config()
 	if set.IsOperator(key) {
 		return nil
 	}
-	if version == 0 && s.first != "" && declare.HashKey(key) == s.first {
+	if version == 0 && s.firstKeyHash != "" && declare.HashKey(key) == s.firstKeyHash {
 		return nil
 	}
 	return errkind.New(errkind.Unauthenticated, "the key is not that of an operator")
@@ -60,7 +60,7 @@
 
 // Publish puts declarations in force.
 func (s *Service) Publish(ctx context.Context, r *connect.Request[maststagev1.PublishRequest]) (*connect.Response[maststagev1.PublishResponse], error) {
-	if err := s.allow(r.Header().Get("Authorization")); err != nil {
+	if err := s.authorize(r.Header().Get("Authorization")); err != nil {
 		return nil, entry.ToConnect(err)
 	}
 	if _, err := declare.Parse(r.Msg.Text); err != nil {
@@ -78,18 +78,18 @@
 	return connect.NewResponse(&maststagev1.PublishResponse{Version: p.Version}), nil
 }
 
-// GetConfig gives the declarations in force here.
+// GetConfig returns the declarations in force on this host.
 func (s *Service) GetConfig(_ context.Context, r *connect.Request[maststagev1.GetConfigRequest]) (*connect.Response[maststagev1.GetConfigResponse], error) {
-	if err := s.allow(r.Header().Get("Authorization")); err != nil {
+	if err := s.authorize(r.Header().Get("Authorization")); err != nil {
 		return nil, entry.ToConnect(err)
 	}
 	v, text := s.store.ConfigText()
 	return connect.NewResponse(&maststagev1.GetConfigResponse{Version: v, Text: text}), nil
 }
 
-// ListBudgets gives all budgets by name.
+// ListBudgets returns all budgets, sorted by name.
 func (s *Service) ListBudgets(_ context.Context, r *connect.Request[maststagev1.ListBudgetsRequest]) (*connect.Response[maststagev1.ListBudgetsResponse], error) {
-	if err := s.allow(r.Header().Get("Authorization")); err != nil {
+	if err := s.authorize(r.Header().Get("Authorization")); err != nil {
 		return nil, entry.ToConnect(err)
 	}
 	res := &maststagev1.ListBudgetsResponse{}
@@ -104,9 +104,9 @@
 	return connect.NewResponse(res), nil
 }
 
-// ListHosts gives the members of the view as this host sees them.
+// ListHosts returns the members of the view and their states as this host sees them.
 func (s *Service) ListHosts(_ context.Context, r *connect.Request[maststagev1.ListHostsRequest]) (*connect.Response[maststagev1.ListHostsResponse], error) {
-	if err := s.allow(r.Header().Get("Authorization")); err != nil {
+	if err := s.authorize(r.Header().Get("Authorization")); err != nil {
 		return nil, entry.ToConnect(err)
 	}
 	offset, _ := s.store.Offset()
@@ -133,9 +133,9 @@
 	return h
 }
 
-// Drain begins a planned stop of a host.
+// Drain starts a graceful shutdown of a host.
 func (s *Service) Drain(ctx context.Context, r *connect.Request[maststagev1.DrainRequest]) (*connect.Response[maststagev1.DrainResponse], error) {
-	if err := s.allow(r.Header().Get("Authorization")); err != nil {
+	if err := s.authorize(r.Header().Get("Authorization")); err != nil {
 		return nil, entry.ToConnect(err)
 	}
 	for _, m := range s.store.Members() {
