--- a/daemon/store/past.go
+++ b/daemon/store/past.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// keepPast is how long the members of an earlier view are remembered: as long as hosts
-	// keep whole answers by default.
-	keepPast = time.Minute
-	maxPast  = 32 // views; more changes in a minute leave out the oldest
+	// pastViewTTL is how long the members of an earlier view are remembered: as long as hosts
+	// keep whole responses by default.
+	pastViewTTL  = time.Minute
+	maxPastViews = 32 // beyond this number the oldest view is forgotten early
 )
 
-// pastView is the members that were in force until a time.
+// pastView holds the members of a former view and the time at which it ended.
 type pastView struct {
 	members []view.Member
 	until   time.Time
 }
 
-// remember keeps the members of a view that is no longer in force; s.mu is held.
-func (s *Store) remember(before view.View) {
+// rememberView keeps the members of a view that was replaced; s.mu is held.
+func (s *Store) rememberView(before view.View) {
 	if s.state.View.Epoch == before.Epoch {
 		return
 	}
 	now := time.Now()
 	s.past = append(s.past, pastView{members: before.Members, until: now})
 	expired := 0
-	for expired < len(s.past) && (now.Sub(s.past[expired].until) > keepPast || len(s.past)-expired > maxPast) {
+	for expired < len(s.past) && (now.Sub(s.past[expired].until) > pastViewTTL || len(s.past)-expired > maxPastViews) {
 		expired++
 	}
 	s.past = slices.Delete(s.past, 0, expired)
 }
 
-// PastReplicas lists who answered for an id in the views of the last minute and does not now, the
-// latest first. A run that one of them began may still be there.
+// PastReplicas returns the members that were replicas of an id in the views of the last minute and
+// no longer are, latest view first. A run that one of them started may still be there.
 func (s *Store) PastReplicas(id, region string) []view.Member {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -45,7 +45,7 @@
 	}
 	var out []view.Member
 	for _, p := range slices.Backward(s.past) {
-		if time.Since(p.until) > keepPast {
+		if time.Since(p.until) > pastViewTTL {
 			break
 		}
 		v := view.View{Members: p.members}
--- a/daemon/store/past_test.go
+++ b/daemon/store/past_test.go
@@ -12,7 +12,7 @@
 	"maststage.dev/fold/view"
 )
 
-// A run stays at its owner when the view changes: who answered for an id before is still found.
+// A run stays at its owner when the view changes, so the former replicas of an id must still be found.
 func TestPastReplicas(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -32,7 +32,7 @@
 	has := func(ms []view.Member) bool {
 		return slices.ContainsFunc(ms, func(m view.Member) bool { return m.Incarnation == owner.Incarnation })
 	}
-	is.True(!has(s.PastReplicas("id", "r"))) // it is one now
+	is.True(!has(s.PastReplicas("id", "r"))) // it is a current replica
 	put("judge", &peerv1.Record{Kind: &peerv1.Record_Evict{Evict: &peerv1.Evict{Incarnation: owner.Incarnation, Epoch: s.Epoch()}}})
 	now, _, _ := s.Replicas("id", "r")
 	is.True(!has(now))
--- a/daemon/store/store.go
+++ b/daemon/store/store.go
@@ -1,4 +1,4 @@
-// Package store holds the fold on a host and tells those concerned of events.
+// Package store holds a host's copy of the replicated state and notifies subscribers of its events.
 package store
 
 import (
@@ -12,11 +12,11 @@
 	"maststage.dev/lib/declare"
 )
 
-// Sink is told of each event in log order, on the goroutine that applies the
-// log; it must not block.
+// Sink receives each event in log order, on the goroutine that applies the log. It must
+// not block.
 type Sink interface{ Event(fold.Event) }
 
-// Store is the fold, safe for concurrent use.
+// Store is the replicated state, safe for concurrent use.
 type Store struct {
 	mu    sync.RWMutex
 	state *fold.State
@@ -26,19 +26,19 @@
 	notify chan struct{} // closed and replaced at each change
 }
 
-// New makes a store before the first record.
+// New returns a store to which no record has been applied.
 func New() *Store {
 	return &Store{state: fold.New(), notify: make(chan struct{})}
 }
 
-// Subscribe adds a sink.
+// Subscribe adds a sink for the events of later entries.
 func (s *Store) Subscribe(sink Sink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sinks = append(s.sinks, sink)
 }
 
-// Unsubscribe takes a sink out.
+// Unsubscribe removes a sink; events being delivered may still reach it.
 func (s *Store) Unsubscribe(sink Sink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,12 +51,12 @@
 	s.sinks = kept
 }
 
-// Apply folds in an entry and tells the sinks.
+// Apply applies a log entry and passes its events to the sinks.
 func (s *Store) Apply(offset uint64, data []byte) {
 	s.mu.Lock()
 	before := s.state.View
 	events := s.state.Apply(offset, data)
-	s.remember(before)
+	s.rememberView(before)
 	sinks := s.sinks
 	close(s.notify)
 	s.notify = make(chan struct{})
@@ -68,7 +68,7 @@
 	}
 }
 
-// Replace takes over a copied state unless it is older than the present one.
+// Replace installs a copied state and reports whether it is newer than the current one. Sinks get no events.
 func (s *Store) Replace(state *fold.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,56 +77,56 @@
 	}
 	before := s.state.View
 	s.state = state
-	s.remember(before)
+	s.rememberView(before)
 	close(s.notify)
 	s.notify = make(chan struct{})
 	return true
 }
 
-// Changed gives a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.notify
 }
 
-// Encode copies the state for another host.
+// Encode encodes the state for a snapshot or another host.
 func (s *Store) Encode() ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Encode()
 }
 
-// Offset is the last one applied; snap that of the last snapshot.
+// Offset returns the offset of the last applied entry and that of the last snapshot.
 func (s *Store) Offset() (offset, snap uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Offset, s.state.Snap
 }
 
-// Epoch is the number of the view.
+// Epoch returns the number of the view.
 func (s *Store) Epoch() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.View.Epoch
 }
 
-// Members lists the view; the slice is shared and must not be changed.
+// Members returns the members of the view. The slice is shared and must not be modified.
 func (s *Store) Members() []view.Member {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.View.Members
 }
 
-// Member finds a member of the view.
+// Member returns the member of the view with the given incarnation.
 func (s *Store) Member(inc string) (view.Member, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.View.Member(inc)
 }
 
-// Replicas says who answers for an id, in which epoch, and whether they know
-// all that was held of it.
+// Replicas returns the replicas of an id, the epoch of the view, and whether they know all
+// claims that were held on it.
 func (s *Store) Replicas(id, region string) (ms []view.Member, epoch uint64, settled bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -134,28 +134,28 @@
 	return v.Replicas(id, region), v.Epoch, v.Settled(id, region)
 }
 
-// Fact gives what the log says of an id.
+// Fact returns what the log records of an id.
 func (s *Store) Fact(id string) (fact.Fact, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Facts.Get(id)
 }
 
-// Config gives the configuration in force.
+// Config returns the configuration in force.
 func (s *Store) Config() (version uint64, set *declare.Set) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Config.Version, s.state.Config.Set
 }
 
-// ConfigText gives the declarations in force as published.
+// ConfigText returns the declarations in force as published.
 func (s *Store) ConfigText() (version uint64, text string) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Config.Version, s.state.Config.Text
 }
 
-// Left is what a budget can still grant, and whether there is such a budget.
+// Left returns what a budget can still grant; ok is false if there is no such budget.
 func (s *Store) Left(name string) (left int64, ok bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -166,10 +166,10 @@
 	return a.Left(), true
 }
 
-// Sharers is how many hosts may draw on a budget: the members of the view.
+// Sharers returns the number of hosts that may draw on a budget: the members of the view.
 func (s *Store) Sharers() int { return len(s.Members()) }
 
-// Total is a whole budget, and whether there is such a one.
+// Total returns the size of a budget; ok is false if there is no such budget.
 func (s *Store) Total(name string) (total uint64, ok bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -180,7 +180,7 @@
 	return a.Total, true
 }
 
-// Budgets copies the accounts.
+// Budgets returns a deep copy of the accounts.
 func (s *Store) Budgets() map[string]budget.Account {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
