--- a/daemon/metric/metric.go
+++ b/daemon/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric holds the host's metrics: histograms for each organisation
-// and class, and counters for each error kind. The number of series is bounded.
+// Package metric collects a host's metrics: histograms per organisation and class, and
+// counters per error kind. The number of series is bounded.
 package metric
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// maxPairs bounds the pairs of organisation and class with series of their
-// own; the rest is counted under "other".
+// maxPairs bounds the pairs of organisation and class that have their own series; all
+// others are counted under "other".
 const maxPairs = 1000
 
-// Set is the metrics of one host.
+// Set holds the metrics of one host.
 type Set struct {
 	set *metrics.Set
 
@@ -28,16 +28,16 @@
 // series are the histograms of one organisation and class, in seconds.
 type series struct {
 	labels       string
-	whole, first *metrics.Histogram
+	total, first *metrics.Histogram
 	gap, queued  *metrics.Histogram
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
 	return &Set{set: metrics.NewSet(), pairs: map[pair]*series{}}
 }
 
-func (s *Set) of(org, class string) *series {
+func (s *Set) seriesFor(org, class string) *series {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := pair{org, class}
@@ -53,7 +53,7 @@
 	labels := fmt.Sprintf("organisation=%q,class=%q", p.org, p.class)
 	x := &series{
 		labels: labels,
-		whole:  s.set.NewHistogram("maststage_request_seconds{" + labels + "}"),
+		total:  s.set.NewHistogram("maststage_request_seconds{" + labels + "}"),
 		first:  s.set.NewHistogram("maststage_first_token_seconds{" + labels + "}"),
 		gap:    s.set.NewHistogram("maststage_token_gap_seconds{" + labels + "}"),
 		queued: s.set.NewHistogram("maststage_queue_seconds{" + labels + "}"),
@@ -62,29 +62,33 @@
 	return x
 }
 
-// Request counts a request that ended with a kind, "ok" if it did not fail.
+// Request records a finished request with its error kind, or "ok".
 func (s *Set) Request(org, class, kind string, took time.Duration) {
-	x := s.of(org, class)
-	x.whole.Update(took.Seconds())
+	x := s.seriesFor(org, class)
+	x.total.Update(took.Seconds())
 	s.set.GetOrCreateCounter(fmt.Sprintf("maststage_requests_total{%s,kind=%q}", x.labels, kind)).Inc()
 }
 
-// FirstToken records the time to a first token.
+// FirstToken records the time to the first token.
 func (s *Set) FirstToken(org, class string, d time.Duration) {
-	s.of(org, class).first.Update(d.Seconds())
+	s.seriesFor(org, class).first.Update(d.Seconds())
 }
 
 // Gap records the time between two tokens.
-func (s *Set) Gap(org, class string, d time.Duration) { s.of(org, class).gap.Update(d.Seconds()) }
+func (s *Set) Gap(org, class string, d time.Duration) {
+	s.seriesFor(org, class).gap.Update(d.Seconds())
+}
 
-// Queued records the time a request waited for a target.
-func (s *Set) Queued(org, class string, d time.Duration) { s.of(org, class).queued.Update(d.Seconds()) }
+// Queued records how long a request waited for a target.
+func (s *Set) Queued(org, class string, d time.Duration) {
+	s.seriesFor(org, class).queued.Update(d.Seconds())
+}
 
-// Gauge adds a gauge that is read when the metrics are.
+// Gauge adds a gauge; f is called on each read of the metrics.
 func (s *Set) Gauge(name string, f func() float64) { s.set.NewGauge("maststage_"+name, f) }
 
 // Count adds n to a counter.
 func (s *Set) Count(name string, n int) { s.set.GetOrCreateCounter("maststage_" + name).Add(n) }
 
-// Write prints all metrics in the Prometheus text format.
+// Write writes all metrics in the Prometheus text format.
 func (s *Set) Write(w io.Writer) { s.set.WritePrometheus(w) }
