--- a/daemon/settings/log.go
+++ b/daemon/settings/log.go
@@ -6,7 +6,7 @@
 	FormatJSON = "json"
 )
 
-// Log says what is logged to standard error.
+// Log configures the log on standard error.
 type Log struct {
 	Level  string `ini:"level" default:"info"`
 	Format string `ini:"format" default:"text"`
--- a/daemon/settings/peers.go
+++ b/daemon/settings/peers.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// minSecret is the least length of the hosts' shared secret.
-const minSecret = 16
+// minSecretLength is the minimum length of the hosts' shared secret, in bytes.
+const minSecretLength = 16
 
-// Peers says how hosts meet each other.
+// Peers configures the connections between hosts and the failure detection.
 type Peers struct {
 	Secret       string        `ini:"secret"`
-	Map          string        `ini:"map" default:""` // addresses reached by way of others: FROM>TO,FROM>TO
+	Map          string        `ini:"map" default:""` // addresses to dial instead of others: FROM>TO,FROM>TO
 	PingInterval time.Duration `ini:"ping_interval" default:"500ms"`
 	SuspectAfter time.Duration `ini:"suspect_after" default:"1500ms"` // silence before a host is suspected
-	Timeout      time.Duration `ini:"timeout" default:"500ms"`        // of one short call
+	Timeout      time.Duration `ini:"timeout" default:"500ms"`        // of a short call
 }
 
-// Via gives the address to dial for each address in the map.
+// Via returns the address to dial for each address in Map.
 func (p Peers) Via() map[string]string {
 	via := map[string]string{}
 	for pair := range strings.SplitSeq(p.Map, ",") {
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds the settings of maststaged, one file a section.
+// Package settings defines the settings of maststaged, one section per file.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"maststage.dev/lib/settings"
 )
 
-// Settings is the whole file.
+// Settings is a settings file.
 type Settings struct {
 	Host     Host     `ini:"host"`
 	Platform Platform `ini:"platform"`
@@ -53,8 +53,8 @@
 			return fmt.Errorf("section [host]: key %q: is empty", n.key)
 		}
 	}
-	if len(s.Peers.Secret) < minSecret {
-		return fmt.Errorf("section [peers]: key \"secret\": shorter than %d characters", minSecret)
+	if len(s.Peers.Secret) < minSecretLength {
+		return fmt.Errorf("section [peers]: key \"secret\": shorter than %d characters", minSecretLength)
 	}
 	if err := s.Peers.checkMap(); err != nil {
 		return fmt.Errorf("section [peers]: key \"map\": %w", err)
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -13,7 +13,7 @@
 
 const example = "../../config/maststaged.ini"
 
-// The commented file is valid, and what it shows as defaults are the defaults.
+// The example file is valid, and the defaults in its comments are the real ones.
 func TestExampleFile(t *testing.T) {
 	is := is.New(t)
 	want, err := Load(example)
@@ -34,7 +34,7 @@
 	return path
 }
 
-// Bad values name file, section, key and reason.
+// Errors for invalid settings name file, section, key and reason.
 func TestBadValues(t *testing.T) {
 	good, err := os.ReadFile(example)
 	if err != nil {
