--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -121,8 +121,8 @@
 	}
 	guard.Go("snapshots", func() { n.snapshots(ctx) })
 	guard.Go("membership", func() { n.rejoinAfterEviction(ctx) })
-	guard.Go("response expiry", func() { n.expireResponses(ctx) })
-	guard.Go("stall detection", func() { n.engine.Run(ctx) })
+	guard.Go("kept answers", func() { n.expireResponses(ctx) })
+	guard.Go("standstills", func() { n.engine.Run(ctx) })
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
