--- a/daemon/claim/claim.go
+++ b/daemon/claim/claim.go
@@ -1,16 +1,17 @@
-// Package claim sees to it that a request that may not be repeated is run by
-// one incarnation at most.
+// Package claim ensures that a request that must not be repeated is run by at
+// most one incarnation.
 //
 // Each id has three replicas in the view. An incarnation may dispatch the
-// request only after two of them, at its own epoch, have accepted its claim; a
-// replica accepts one claimant for an id, ever. Any two claimants need a common
-// replica, so at most one gets through in an epoch.
+// request only after two of them, at its own epoch, have granted its claim; a
+// replica only ever accepts one claimant per id. Two majorities of three share a
+// replica, so at most one claimant succeeds in an epoch.
 //
-// The claim must outlive its holders. So it is in the log before it is used, or,
-// while the log is down, granted by a majority of the region's members. When the
-// view changes, each member first logs the claims it holds and then a Flushed
-// record; replicas act for ids that moved only when the view has settled, so they
-// know all claims of before. docs/design/at-most-once.md has the whole argument.
+// A claim must survive the replicas that hold it. It is therefore logged before it
+// is used or, while the log is unavailable, granted by a majority of the region's
+// members. When the view changes, each member first logs the claims it holds and
+// then a Flushed record; replicas serve ids that were reassigned to them only once
+// the view has settled, and so know all earlier claims.
+// docs/design/at-most-once.md has the full argument.
 package claim
 
 import (
@@ -30,17 +31,17 @@
 	Put(...*peerv1.Record) error
 }
 
-// Log is what the register asks of the fold.
+// Log is the folded state of the log that the register reads.
 type Log interface {
 	Fact(id string) (fact.Fact, bool)
 	Epoch() uint64
 	Member(inc string) (view.Member, bool)
 }
 
-// logLate is when a holder logs a claim that its claimant has not logged.
+// logLate is the age at which a replica logs a claim that its claimant has not logged.
 const logLate = 2 * time.Second
 
-// entry is a claim that is held until the log has it.
+// entry is a claim held until it is read back from the log.
 type entry struct {
 	claimant string
 	at       time.Time
@@ -57,20 +58,20 @@
 	held  map[string]*entry
 }
 
-// NewRegister makes an empty register at the present epoch.
+// NewRegister returns an empty register at the current epoch.
 func NewRegister(out Outbox, l Log) *Register {
 	return &Register{out: out, log: l, epoch: l.Epoch(), held: map[string]*entry{}}
 }
 
-// Answer is what a replica says to a claim.
+// Answer is a replica's response to a claim.
 type Answer struct {
 	Granted  bool
-	Epoch    uint64 // the replica's
-	Claimant string // who has it instead, if somebody has
+	Epoch    uint64 // epoch of the replica
+	Claimant string // the claimant that holds the id, if any
 }
 
-// Claim records the token claimant for id unless another has it, the epochs differ, or
-// claimant is not in the view.
+// Claim grants id to the token claimant unless another incarnation holds it, the epochs
+// differ, or the claimant is not in the view.
 func (r *Register) Claim(id, claimant string, epoch uint64) Answer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,17 +82,17 @@
 	if other := f.Other(fact.Incarnation(claimant)); other != "" {
 		return Answer{Epoch: r.epoch, Claimant: other}
 	}
-	if e := r.held[id]; e != nil && !same(e.claimant, claimant) {
+	if e := r.held[id]; e != nil && !sameIncarnation(e.claimant, claimant) {
 		return Answer{Epoch: r.epoch, Claimant: e.claimant}
 	}
 	if e := r.held[id]; e != nil && fact.Try(e.claimant) > fact.Try(claimant) {
-		return Answer{Epoch: r.epoch} // an earlier try that comes late
+		return Answer{Epoch: r.epoch} // a delayed message of an earlier attempt
 	}
 	r.held[id] = &entry{claimant: claimant, at: time.Now()}
 	return Answer{Granted: true, Epoch: r.epoch, Claimant: claimant}
 }
 
-// Holder says who has an id, empty if nobody is known to.
+// Holder returns the token of the known claimant of an id, empty if there is none.
 func (r *Register) Holder(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,10 +106,10 @@
 	return ""
 }
 
-// same says whether two tokens are of one incarnation, which tries one at a time.
-func same(a, b string) bool { return fact.Incarnation(a) == fact.Incarnation(b) }
+// sameIncarnation reports whether two tokens belong to one incarnation, which makes one attempt at a time.
+func sameIncarnation(a, b string) bool { return fact.Incarnation(a) == fact.Incarnation(b) }
 
-// Release forgets a claim whose claimant has not run the request and won't.
+// Release drops a claim whose claimant has not run the request and will not.
 func (r *Register) Release(id, claimant string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +126,7 @@
 	delete(r.held, id)
 }
 
-// Log puts a claim of this host into the outbox, so that it gets into the log.
+// Log queues a claim of this host for the log.
 func (r *Register) Log(id, claimant string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// Event hears of intents that are in the log and of new epochs.
+// Event handles intents read back from the log and new epochs.
 func (r *Register) Event(e fold.Event) {
 	switch k := e.(type) {
 	case fold.Intended:
@@ -153,18 +154,18 @@
 	}
 }
 
-// logged drops a claim that the log has. One of another incarnation, or of a
-// later try, stays: the one in the log may be released.
+// logged drops a held claim that is now in the log. A held claim of another
+// incarnation or a later attempt stays: the logged one may yet be released.
 func (r *Register) logged(id, claimant string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.held[id]; e != nil && same(e.claimant, claimant) && fact.Try(claimant) >= fact.Try(e.claimant) {
+	if e := r.held[id]; e != nil && sameIncarnation(e.claimant, claimant) && fact.Try(claimant) >= fact.Try(e.claimant) {
 		delete(r.held, id)
 	}
 }
 
-// flush logs all claims held, then says so. From here on claims of older
-// epochs are not accepted.
+// flush logs all held claims and then a Flushed record. From here on claims of
+// older epochs are rejected.
 func (r *Register) flush(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,11 +180,11 @@
 	f := &peerv1.Flushed{Epoch: epoch}
 	records = append(records, &peerv1.Record{Kind: &peerv1.Record_Flushed{Flushed: f}})
 	if err := r.out.Put(records...); err != nil {
-		log.WithError(err).Error("can't flush claims, ids that moved stay closed")
+		log.WithError(err).Error("cannot flush claims to the log; reassigned ids stay blocked")
 	}
 }
 
-// Tick logs claims whose claimant has not logged them in good time.
+// Tick logs held claims that their claimants have not logged within logLate.
 func (r *Register) Tick(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,7 +198,7 @@
 	}
 }
 
-// Held is how many claims are not in the log.
+// Held returns the number of held claims that are not in the log.
 func (r *Register) Held() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -19,10 +19,10 @@
 
 const hosts = 5
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("cut off")
 
-// model is a few hosts round one log. Each step is one thing that happens to
-// one host, so that rapid finds the order that breaks the promise.
+// model is a cluster of hosts that share one log. Each action is one event at one
+// host, so that rapid can search for an order that breaks the invariant.
 type model struct {
 	log     [][]byte
 	hosts   []*host
@@ -30,19 +30,19 @@
 	crashed int
 }
 
-// host is one incarnation with what it owns.
+// host is one incarnation with its state.
 type host struct {
-	model   *model
-	inc     string
-	store   *store.Store
-	reg     *Register
-	coord   *Coordinator
-	outbox  []*peerv1.Record
-	seq     uint64
-	away    bool // cut off from the log and from hosts that are not away
-	dead    bool
-	pending []*Grant        // waiting for the log
-	table   map[string]bool // ids that it runs or has run
+	model       *model
+	inc         string
+	store       *store.Store
+	reg         *Register
+	coord       *Coordinator
+	outbox      []*peerv1.Record
+	seq         uint64
+	partitioned bool // from the log and from hosts that are not partitioned
+	dead        bool
+	pending     []*Grant        // waiting to be read back from the log
+	table       map[string]bool // ids that it is running or has run
 }
 
 // Put queues records.
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// ClaimAt reaches a member unless a cut lies between.
+// ClaimAt reaches a member unless a partition separates the two.
 func (h *host) ClaimAt(_ context.Context, m view.Member, r *peerv1.ClaimRequest) (Answer, error) {
 	for _, o := range h.model.hosts {
 		if o.inc != m.Incarnation {
 			continue
 		}
-		if o.dead || o.away != h.away {
-			return Answer{}, errCut
+		if o.dead || o.partitioned != h.partitioned {
+			return Answer{}, errPartitioned
 		}
 		if r.Release {
 			o.reg.Release(r.Id, r.Claimant)
@@ -66,7 +66,7 @@
 		}
 		return o.reg.Claim(r.Id, r.Claimant, r.Epoch), nil
 	}
-	return Answer{}, errCut
+	return Answer{}, errPartitioned
 }
 
 func newModel() *model {
@@ -80,7 +80,7 @@
 		m.hosts = append(m.hosts, h)
 		h.outbox = []*peerv1.Record{{Kind: &peerv1.Record_Join{Join: &peerv1.Join{Host: h.inc, Domain: fmt.Sprint("d", i%3), Region: "r"}}}}
 	}
-	for range 3 { // joins, flushes, and the flushes of the last joins
+	for range 3 { // joins, their flushes, and the flushes of the last joins
 		for _, h := range m.hosts {
 			h.append()
 			for _, o := range m.hosts {
@@ -122,7 +122,7 @@
 	return h
 }
 
-// Claim tries once, as the coordinator does; with the claim it either asks the
+// Claim makes one attempt as the coordinator does; once granted, it either asks the
 // majority at once or waits for the log.
 func (m *model) Claim(t *rapid.T) {
 	h := m.pick(t)
@@ -132,9 +132,9 @@
 		t.Skip("not settled")
 	}
 	if h.table[id] {
-		t.Skip("it has the run")
+		t.Skip("already running here")
 	}
-	g, err := h.coord.try(context.Background(), id, members, epoch)
+	g, err := h.coord.attempt(context.Background(), id, members, epoch)
 	if g == nil || err != nil {
 		return
 	}
@@ -163,11 +163,11 @@
 	delete(h.table, g.id)
 }
 
-// Waited ends the wait for the log of one claim.
+// Waited ends one claim's wait for the log.
 func (m *model) Waited(t *rapid.T) {
 	h := m.pick(t)
 	if len(h.pending) == 0 {
-		t.Skip("none waits")
+		t.Skip("no claim is waiting")
 	}
 	g := h.pending[0]
 	h.pending = h.pending[1:]
@@ -182,37 +182,37 @@
 	}
 }
 
-// Append gets a host's outbox into the log.
+// Append writes a host's outbox to the log.
 func (m *model) Append(t *rapid.T) {
 	h := m.pick(t)
-	if h.away {
+	if h.partitioned {
 		t.Skip("cut off")
 	}
 	h.append()
 }
 
-// Read lets a host read on.
+// Read lets a host read further in the log.
 func (m *model) Read(t *rapid.T) {
 	h := m.pick(t)
-	if h.away {
+	if h.partitioned {
 		t.Skip("cut off")
 	}
 	h.catchUp(rapid.IntRange(1, 4).Draw(t, "entries"))
 }
 
-// Away cuts some hosts off together, or heals them.
+// Away partitions some hosts together, or reconnects them.
 func (m *model) Away(t *rapid.T) {
 	for range rapid.IntRange(1, 2).Draw(t, "hosts") {
 		h := m.pick(t)
-		h.away = !h.away
+		h.partitioned = !h.partitioned
 	}
 }
 
-// Round lets all that are not cut off read and append all there is, twice.
+// Round lets every reachable host read the whole log and append its outbox, twice.
 func (m *model) Round(t *rapid.T) {
 	for range 2 {
 		for _, h := range m.hosts {
-			if !h.dead && !h.away {
+			if !h.dead && !h.partitioned {
 				h.catchUp(len(m.log))
 				h.append()
 			}
@@ -220,18 +220,18 @@
 	}
 }
 
-// Crash ends a host, a minority at most; what it held and had not logged is lost.
+// Crash kills a host, at most a minority in all; its unlogged claims are lost.
 func (m *model) Crash(t *rapid.T) {
 	h := m.pick(t)
-	if m.crashed == (hosts-1)/2 || !m.latest().View().Has(h.inc) {
-		t.Skip("enough")
+	if m.crashed == (hosts-1)/2 || !m.foldWholeLog().View().Has(h.inc) {
+		t.Skip("enough hosts crashed")
 	}
 	m.crashed++
 	h.dead = true
 }
 
-// latest folds the whole log.
-func (m *model) latest() *snapshot {
+// foldWholeLog folds the whole log.
+func (m *model) foldWholeLog() *snapshot {
 	s := &snapshot{store.New()}
 	for i, data := range m.log {
 		s.Apply(uint64(i+1), data)
@@ -243,23 +243,23 @@
 
 func (s *snapshot) View() *view.View { return &view.View{Members: s.Members()} }
 
-// Evict ends a member that is silent to fewer than half of the members, as the
-// detector's rule has it.
+// Evict removes a silent member, provided that fewer than half of the members are
+// silent, as the detector requires.
 func (m *model) Evict(t *rapid.T) {
 	h := m.pick(t)
-	if h.away {
+	if h.partitioned {
 		t.Skip("cut off")
 	}
 	members := h.store.Members()
 	var silent []string
 	for _, o := range m.hosts {
 		in := slices.ContainsFunc(members, func(x view.Member) bool { return x.Incarnation == o.inc })
-		if in && (o.dead || o.away) {
+		if in && (o.dead || o.partitioned) {
 			silent = append(silent, o.inc)
 		}
 	}
 	if len(silent) == 0 || 2*len(silent) >= len(members) {
-		t.Skip("none to evict")
+		t.Skip("no member to evict")
 	}
 	inc := rapid.SampledFrom(silent).Draw(t, "evicted")
 	_ = h.Put(&peerv1.Record{Kind: &peerv1.Record_Evict{Evict: &peerv1.Evict{Incarnation: inc, Epoch: h.store.Epoch()}}})
@@ -269,7 +269,7 @@
 	}
 }
 
-// Check is the promise.
+// Check asserts the invariant: no request runs twice.
 func (m *model) Check(t *rapid.T) {
 	for id, n := range m.ran {
 		if n > 1 {
@@ -278,16 +278,16 @@
 	}
 }
 
-// However claims, reads, cuts, crashes and evictions fall, nothing runs twice.
-func TestClaimsRunOnce(t *testing.T) {
+// No request runs twice, whatever the order of claims, reads, partitions, crashes and evictions.
+func TestNoRequestRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		t.Repeat(rapid.StateMachineActions(newModel()))
 	})
 }
 
-// A register that reads an earlier try, or another's claim, in the log keeps the
-// claim that it holds: the one in the log may be released.
-func TestRegisterKeepsWhatIsNotLogged(t *testing.T) {
+// A register that reads an earlier attempt or another incarnation's claim in the log
+// keeps the claim it holds: the logged one may be released.
+func TestRegisterKeepsUnloggedClaim(t *testing.T) {
 	is := is.New(t)
 	m := newModel()
 	h := m.hosts[0]
@@ -297,7 +297,7 @@
 	is.Equal(h.reg.Holder("o/1"), "h1#2")
 	h.reg.Event(fold.Intended{ID: "o/1", Claimant: "h2#9", Valid: true})
 	is.Equal(h.reg.Holder("o/1"), "h1#2")
-	is.True(!h.reg.Claim("o/1", "h1#1", epoch).Granted) // late
+	is.True(!h.reg.Claim("o/1", "h1#1", epoch).Granted) // delayed message of an earlier attempt
 	is.True(!h.reg.Claim("o/1", "h2#1", epoch).Granted)
 	h.reg.Release("o/1", "h1#1")
 	is.Equal(h.reg.Holder("o/1"), "h1#2")
--- a/daemon/claim/coordinator.go
+++ b/daemon/claim/coordinator.go
@@ -16,70 +16,70 @@
 	"maststage.dev/lib/guard"
 )
 
-// Pauses between tries of a claim.
+// Bounds of the random pause between attempts at a claim.
 const (
 	pauseMin = 5 * time.Millisecond
 	pauseMax = 40 * time.Millisecond
 )
 
-// Hosts asks members of the view; this host's own register among them.
+// Hosts sends claims to members of the view, including this host's own register.
 type Hosts interface {
 	ClaimAt(ctx context.Context, m view.Member, r *peerv1.ClaimRequest) (Answer, error)
 }
 
-// Coordinator gets claims for one incarnation.
+// Coordinator acquires claims for one incarnation.
 type Coordinator struct {
-	inc    string
-	region string
-	store  *store.Store
-	hosts  Hosts
-	reg    *Register
-	out    Outbox
-	logUp  func() bool
-	tries  atomic.Uint64
+	inc      string
+	region   string
+	store    *store.Store
+	hosts    Hosts
+	reg      *Register
+	out      Outbox
+	logUp    func() bool
+	attempts atomic.Uint64
 
 	mu       sync.Mutex
-	released map[string]string // token of the last claim given up, by id
+	released map[string]string // token of the last released claim, by id
 
-	spawn func(duty string, f func()) // guard.Go, but for tests
+	spawn func(duty string, f func()) // guard.Go except in tests
 }
 
-// NewCoordinator makes the coordinator of incarnation inc.
+// NewCoordinator returns the coordinator of incarnation inc.
 func NewCoordinator(inc, region string, s *store.Store, h Hosts, reg *Register, out Outbox, logUp func() bool) *Coordinator {
 	return &Coordinator{inc: inc, region: region, store: s, hosts: h, reg: reg, out: out, logUp: logUp, released: map[string]string{}, spawn: guard.Go}
 }
 
-// Taken says that another incarnation has the request.
+// Taken is the error for a request that another incarnation holds.
 type Taken struct{ Incarnation string }
 
 func (t *Taken) Error() string { return "taken by " + t.Incarnation }
 
-// Grant is a claim that was won: the holder, and only it, may dispatch.
+// Grant is an acquired claim: only its holder may dispatch the request.
 type Grant struct {
-	c      *Coordinator
-	id     string
-	token  string
-	epoch  uint64
-	logged bool
-	wide   bool // members other than the replicas were asked
+	c           *Coordinator
+	id          string
+	token       string
+	epoch       uint64
+	logged      bool
+	askedRegion bool // all members of the region were asked, not just the replicas
 }
 
-// tally is what the replicas said to one try.
+// tally counts the replicas' answers to one attempt.
 type tally struct {
 	granted int
 	others  map[string]int // by token
 	need    int
 }
 
-// Claim gets the right to run id. The error is a *Taken, or of kind
-// Unavailable: then this incarnation has not run it and won't under this claim.
+// Claim acquires the right to run id. The error is a *Taken or of kind
+// Unavailable; in both cases this incarnation has not run it and will not under this claim.
 func (c *Coordinator) Claim(ctx context.Context, id string, wait time.Duration) (*Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
 		members, epoch, settled := c.store.Replicas(id, c.region)
 		if _, in := c.store.Member(c.inc); settled && in && len(members) > 0 {
-			g, err := c.try(ctx, id, members, epoch)
+			g, err := c.attempt(ctx, id, members, epoch)
 			if g != nil || err != nil {
 				return g, err
 			}
@@ -94,15 +94,16 @@
 	}
 }
 
-// try asks all replicas once. Nil and nil: neither won nor taken, try again.
-func (c *Coordinator) try(ctx context.Context, id string, members []view.Member, epoch uint64) (*Grant, error) {
-	// The store is settled, so it has every claim of before that any host knows
-	// of; a replica may not have read as far yet.
+// attempt asks all replicas once. It returns nil and nil if the claim is neither granted nor
+// taken; the caller then retries.
+func (c *Coordinator) attempt(ctx context.Context, id string, members []view.Member, epoch uint64) (*Grant, error) {
+	// The store is settled, so it has every earlier claim that any host knows
+	// of; a replica may lag behind it.
 	f, _ := c.store.Fact(id)
 	if other := f.Other(c.inc); other != "" {
 		return nil, &Taken{Incarnation: fact.Incarnation(other)}
 	}
-	g := &Grant{c: c, id: id, token: fact.Token(c.inc, c.tries.Add(1)), epoch: epoch}
+	g := &Grant{c: c, id: id, token: fact.Token(c.inc, c.attempts.Add(1)), epoch: epoch}
 	t := c.ask(ctx, members, g.request(), len(members)/2+1)
 	if t.granted >= t.need {
 		return g, nil
@@ -125,7 +126,7 @@
 	return &peerv1.ClaimRequest{Id: g.id, Claimant: g.token, Epoch: g.epoch}
 }
 
-// ask sends a claim to members and counts until need of them have granted it.
+// ask sends a claim to members and counts their answers until need of them have granted it.
 func (c *Coordinator) ask(ctx context.Context, members []view.Member, r *peerv1.ClaimRequest, need int) tally {
 	answers := make(chan Answer, len(members))
 	for _, m := range members {
@@ -153,7 +154,7 @@
 	return t
 }
 
-// members lists those of this region.
+// members returns the members of this region.
 func (c *Coordinator) members() []view.Member {
 	var here []view.Member
 	for _, m := range c.store.Members() {
@@ -164,8 +165,8 @@
 	return here
 }
 
-// release takes back a claim that was not won. It is safe if it is lost: the
-// token then only blocks a place that others don't need.
+// release withdraws a claim that was not granted. A lost message is harmless: the
+// token then only blocks a replica that other claimants can do without.
 func (c *Coordinator) release(members []view.Member, id, token string) {
 	r := &peerv1.ClaimRequest{Id: id, Claimant: token, Release: true}
 	for _, m := range members {
@@ -175,12 +176,12 @@
 	}
 }
 
-// Secure makes the claim outlive hosts before it is used: it waits until the
-// claim is in the log. While the log is down, or does not show it within wait,
-// a majority of the region's members must grant it too, at the epoch of the
-// claim: those that evict the holders of a claim can then not be without it.
-// The error is a *Taken, or of kind Unavailable or Overloaded (the outbox is
-// full); the claim must be released then.
+// Secure makes the claim durable before it is used: it waits until the claim is
+// in the log. While the log is unavailable, or does not show the claim within wait,
+// a majority of the region's members must grant it too, at the epoch of the claim:
+// any majority that evicts its holders then includes a member that knows it. The
+// error is a *Taken, or of kind Unavailable or Overloaded (the outbox is full); the
+// caller must then release the claim.
 func (g *Grant) Secure(ctx context.Context, wait time.Duration) error {
 	if err := g.c.reg.Log(g.id, g.token); err != nil {
 		return err
@@ -206,7 +207,7 @@
 		if first == g.token {
 			return true, nil
 		}
-		if first != "" && !same(first, g.token) {
+		if first != "" && !sameIncarnation(first, g.token) {
 			return false, &Taken{Incarnation: fact.Incarnation(first)}
 		}
 		select {
@@ -219,11 +220,11 @@
 	}
 }
 
-// majority gets the claim granted by most members of the region.
+// majority asks all members of the region for the claim; more than half must grant it.
 func (g *Grant) majority(ctx context.Context) error {
 	members := g.c.members()
 	need := len(members)/2 + 1
-	g.wide = true
+	g.askedRegion = true
 	t := g.c.ask(ctx, members, g.request(), need)
 	if t.granted >= need && g.c.store.Epoch() == g.epoch {
 		return nil
@@ -231,19 +232,19 @@
 	return errkind.New(errkind.Unavailable, "the log is down, and %d of %d hosts grant the claim where %d must", t.granted, len(members), need)
 }
 
-// maxReleased bounds what is remembered of claims given up; forgetting one makes
-// a retry 'unknown' until its release is in the log.
+// maxReleased bounds the remembered releases. A retry of a forgotten one gets
+// 'unknown' until the release is in the log.
 const maxReleased = 10_000
 
-// GaveUp says whether a claim of this incarnation that the log still shows was
-// given up.
+// GaveUp reports whether a claim of this incarnation that the log still shows has
+// been released.
 func (c *Coordinator) GaveUp(id, token string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.released[id] == token
 }
 
-func (c *Coordinator) gaveUp(id, token string) {
+func (c *Coordinator) noteReleased(id, token string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.released) >= maxReleased {
@@ -252,11 +253,11 @@
 	c.released[id] = token
 }
 
-// Release gives the claim up: the request was not run under it and won't be.
+// Release gives up the claim: the request has not been run under it and will not be.
 func (g *Grant) Release() {
-	g.c.gaveUp(g.id, g.token)
+	g.c.noteReleased(g.id, g.token)
 	members, _, _ := g.c.store.Replicas(g.id, g.c.region)
-	if g.wide {
+	if g.askedRegion {
 		members = g.c.members()
 	}
 	g.c.release(members, g.id, g.token)
@@ -266,5 +267,5 @@
 	}
 }
 
-// Token names the claim.
+// Token returns the token that identifies the claim.
 func (g *Grant) Token() string { return g.token }
