--- a/daemon/ledger/ledger.go
+++ b/daemon/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger is a host's part of the prepaid budgets. An incarnation takes
-// slices of a budget through the log, reserves the worst case of each request
-// out of them before it is dispatched, and settles the actual use after. What
-// it holds is spent as far as everybody else is concerned, so no clock and no
-// partition can lead to overspend. All counts are tokens.
+// Package ledger holds a host's allocations of the prepaid budgets. An incarnation
+// takes allocations of a budget through the log, reserves the worst case of each
+// request from them before it is dispatched, and settles the actual use afterwards.
+// For all other hosts an allocation counts as spent, so neither clock errors nor
+// partitions can lead to overspending. All counts are tokens.
 package ledger
 
 import (
@@ -23,22 +23,22 @@
 	Put(...*peerv1.Record) error
 }
 
-// Budgets is what the ledger asks of the fold.
+// Budgets is the folded state of the log that the ledger reads.
 type Budgets interface {
-	// Left is what a budget can still grant, and whether it is declared.
+	// Left returns what a budget can still grant, and whether it is declared.
 	Left(name string) (left int64, ok bool)
-	// Sharers is how many hosts may draw on a budget.
+	// Sharers returns how many hosts may draw on a budget.
 	Sharers() int
-	// Total is the whole budget.
+	// Total returns the whole budget, and whether it is declared.
 	Total(name string) (total uint64, ok bool)
 }
 
-// Lender asks other hosts for tokens; it returns how many it got.
+// Lender borrows tokens from other hosts and returns how many it got.
 type Lender interface {
 	Borrow(ctx context.Context, budget string, tokens uint64) uint64
 }
 
-// Ledger holds the slices of one incarnation.
+// Ledger holds the allocations of one incarnation.
 type Ledger struct {
 	inc     string
 	cfg     settings.Budgets
@@ -49,27 +49,27 @@
 
 	mu       sync.Mutex
 	accounts map[string]*account
-	down     time.Duration   // since when the log is away, in which this process ran
-	credited map[string]bool // loans taken in of which only one of reply and log has told
+	outage   time.Duration   // time this process has run since the log became unavailable
+	credited map[string]bool // loans credited after only one of reply and log record has arrived
 }
 
-// account is the slice of one budget.
+// account is the allocation from one budget.
 type account struct {
-	name     string
-	avail    uint64        // neither reserved nor used
-	reserved uint64        // for requests in progress
-	used     uint64        // not settled in the log yet
-	granted  uint64        // ever, through the log
-	asking   bool          // a Take is on its way through the log
-	empty    bool          // the last Take was granted nothing
-	rate     float64       // reserved per second, smoothed
-	window   uint64        // reserved since the last tick
-	largest  uint64        // reservation since the account was idle
-	last     time.Time     // last reservation
-	changed  chan struct{} // closed and replaced when avail or empty change
+	name      string
+	avail     uint64        // neither reserved nor used
+	reserved  uint64        // for requests in progress
+	used      uint64        // not settled in the log yet
+	granted   uint64        // in all, through the log
+	taking    bool          // a Take is in flight through the log
+	exhausted bool          // the last Take was granted nothing, or the budget has none left
+	rate      float64       // tokens reserved per second, smoothed
+	window    uint64        // reserved since the last tick
+	largest   uint64        // largest reservation since the account was last idle
+	last      time.Time     // last reservation
+	changed   chan struct{} // closed and replaced when avail or exhausted changes
 }
 
-// New makes the ledger of an incarnation.
+// New returns the ledger of an incarnation.
 func New(inc string, cfg settings.Budgets, out Outbox, b Budgets, l Lender, logUp func() bool) *Ledger {
 	return &Ledger{
 		inc: inc, cfg: cfg, out: out, budgets: b, lender: l, logUp: logUp,
@@ -85,18 +85,18 @@
 	tokens uint64
 }
 
-// Tokens is how many are set aside.
+// Tokens returns how many are set aside.
 func (r *Reservation) Tokens() uint64 { return r.tokens }
 
-// Close settles the reservation: used tokens are gone, the rest is free again.
-// A use above the reservation is settled in full and logged as an error.
+// Close settles the reservation: used tokens are spent, the rest becomes available
+// again. Use above the reservation is settled in full and logged as an error.
 func (r *Reservation) Close(used uint64) {
 	l := r.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if used > r.tokens {
 		log.WithFields(log.Fields{"budget": r.acc.name, "used": used, "reserved": r.tokens}).
-			Error("a target used more than was reserved")
+			Error("target used more tokens than were reserved")
 		over := min(used-r.tokens, r.acc.avail)
 		r.acc.avail -= over
 	} else {
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// grantSoon is how long a slice takes to come from a log that answers. An outage shows as such
-// only later.
-const grantSoon = 300 * time.Millisecond
+// promptGrant is the time within which a responsive log grants an allocation. logUp reports an
+// outage only later than that.
+const promptGrant = 300 * time.Millisecond
 
-// Reserve sets tokens of a budget aside. It waits for a slice, up to the
-// setting wait, as long as there is somebody to get one from. Errors are of
+// Reserve sets tokens of a budget aside. It waits for an allocation, up to the
+// setting wait, as long as the log or another host may provide one. Errors are of
 // kind Budget, Overloaded (the log's outbox is full) or NotFound.
 func (l *Ledger) Reserve(ctx context.Context, name string, tokens uint64) (*Reservation, error) {
 	left, ok := l.budgets.Left(name)
@@ -132,26 +132,26 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.Wait)
 	defer cancel()
-	borrowed, late := false, false
-	slow := time.NewTimer(grantSoon)
+	borrowed, overdue := false, false
+	slow := time.NewTimer(promptGrant)
 	defer slow.Stop()
 	for {
 		l.mu.Lock()
 		a := l.account(name)
 		if a.avail >= tokens {
-			r := l.grab(a, tokens, left)
+			r := l.reserveAvailable(a, tokens, left)
 			l.mu.Unlock()
 			return r, nil
 		}
 		short := tokens - a.avail
-		if err := l.ask(a, short, left); err != nil {
+		if err := l.requestAllocation(a, short, left); err != nil {
 			l.mu.Unlock()
 			return nil, err
 		}
-		away := !l.logUp()
-		needsLoan := a.empty || away || late
-		// An outage that has just begun may be over within the wait.
-		hopeless := a.empty || away && l.down >= l.cfg.Wait
+		unavailable := !l.logUp()
+		needsLoan := a.exhausted || unavailable || overdue
+		// An outage that has only just begun may end within the wait.
+		hopeless := a.exhausted || unavailable && l.outage >= l.cfg.Wait
 		busy := a.reserved > 0
 		changed := a.changed
 		l.mu.Unlock()
@@ -168,7 +168,7 @@
 		select {
 		case <-changed:
 		case <-slow.C:
-			late = true
+			overdue = true
 		case <-ctx.Done():
 			return nil, l.refusal(name, tokens)
 		}
@@ -180,32 +180,33 @@
 	return errkind.New(errkind.Budget, "budget %q: no host in reach has %d tokens of it to spare", name, tokens)
 }
 
-// grab reserves what is there and asks for the next slice in good time.
-func (l *Ledger) grab(a *account, tokens uint64, left int64) *Reservation {
+// reserveAvailable reserves available tokens and requests the next allocation before this one runs out;
+// l.mu is held.
+func (l *Ledger) reserveAvailable(a *account, tokens uint64, left int64) *Reservation {
 	a.avail -= tokens
 	a.reserved += tokens
 	a.window += tokens
 	a.largest = max(a.largest, tokens)
 	a.last = time.Now()
-	if low := l.sliceSize(a, 0, left) / 2; a.avail < low && !a.empty {
-		if err := l.ask(a, 0, left); err != nil {
-			log.WithError(err).Warn("can't ask for the next slice")
+	if low := l.allocationSize(a, 0, left) / 2; a.avail < low && !a.exhausted {
+		if err := l.requestAllocation(a, 0, left); err != nil {
+			log.WithError(err).Warn("cannot request the next allocation")
 		}
 	}
 	return &Reservation{ledger: l, acc: a, tokens: tokens}
 }
 
-// ask puts a Take into the log unless one is on its way.
-func (l *Ledger) ask(a *account, short uint64, left int64) error {
+// requestAllocation queues a Take for the log unless one is in flight; l.mu is held.
+func (l *Ledger) requestAllocation(a *account, short uint64, left int64) error {
 	if l.cfg.FixedShare > 0 && a.granted > 0 {
-		a.empty = true
+		a.exhausted = true
 		return nil
 	}
-	if a.asking || left <= 0 {
-		a.empty = a.empty || left <= 0
+	if a.taking || left <= 0 {
+		a.exhausted = a.exhausted || left <= 0
 		return nil
 	}
-	want := l.sliceSize(a, short, left)
+	want := l.allocationSize(a, short, left)
 	if want == 0 {
 		return nil
 	}
@@ -213,17 +214,17 @@
 	if err := l.out.Put(&peerv1.Record{Kind: &peerv1.Record_Take{Take: take}}); err != nil {
 		return err
 	}
-	a.asking = true
+	a.taking = true
 	return nil
 }
 
-// sliceSize is the demand of some seconds, at most a part of this host's even
-// share of what is left, so that slices shrink near the end of the budget, and
-// never less than what is short now.
+// allocationSize returns the size of the next allocation: the demand of SliceSeconds, at
+// most a part of this host's even share of what is left, so that allocations shrink as
+// the budget nears exhaustion, and at least the tokens that are short now.
 //
-// Demand is at least a few requests of the largest size: a host that serves one now
-// and then holds enough for the next ones while the log is away.
-func (l *Ledger) sliceSize(a *account, short uint64, left int64) uint64 {
+// The demand covers at least a few requests of the largest size, so that a host with
+// occasional requests holds enough for the next ones while the log is unavailable.
+func (l *Ledger) allocationSize(a *account, short uint64, left int64) uint64 {
 	if left <= 0 {
 		return 0
 	}
@@ -237,10 +238,10 @@
 	return max(size, short)
 }
 
-// spareRequests is how many requests of the largest size a slice covers at least.
+// spareRequests is the least number of largest requests that an allocation covers.
 const spareRequests = 4
 
-// demand is what the account is to hold, where the budget has plenty.
+// demand returns what the account should hold when the budget is not scarce.
 func (l *Ledger) demand(a *account) uint64 {
 	if l.cfg.SliceSeconds <= 0 {
 		return 0
@@ -248,7 +249,7 @@
 	return max(uint64(a.rate*float64(l.cfg.SliceSeconds)), spareRequests*a.largest)
 }
 
-// account finds or makes the account of a budget; l.mu is held.
+// account returns the account of a budget, creating it if needed; l.mu is held.
 func (l *Ledger) account(name string) *account {
 	a := l.accounts[name]
 	if a == nil {
@@ -263,7 +264,7 @@
 	a.changed = make(chan struct{})
 }
 
-// Event hears of grants and loans to this incarnation.
+// Event handles grants and loans to this incarnation, and new configurations.
 func (l *Ledger) Event(e fold.Event) {
 	switch k := e.(type) {
 	case fold.Granted:
@@ -283,30 +284,30 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(name)
-	a.asking = false
+	a.taking = false
 	a.avail += tokens
 	a.granted += tokens
-	a.empty = tokens == 0
+	a.exhausted = tokens == 0
 	a.signal()
 }
 
-// published lets budgets be tried again: they may have been raised.
+// published clears the exhausted marks: budgets may have been raised.
 func (l *Ledger) published() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
-		a.empty = false
+		a.exhausted = false
 		a.signal()
 	}
 }
 
-// Credit takes a loan in, once for each id: the reply of the giver and its
-// record in the log both tell of it, and either may be lost or late.
+// Credit adds a loan, once per id: both the lender's reply and its record in the
+// log report it, and either may be lost or late.
 func (l *Ledger) Credit(id, name string, tokens uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.credited[id] {
-		delete(l.credited, id) // both have told
+		delete(l.credited, id) // both reports have arrived
 		return
 	}
 	l.credited[id] = true
@@ -315,8 +316,8 @@
 	a.signal()
 }
 
-// Lend gives tokens to another incarnation: they are debited here before the
-// reply leaves, so that a lost reply can't double them.
+// Lend gives tokens to another incarnation and returns how many. They are debited
+// here before the reply is sent, so that a lost reply cannot duplicate them.
 func (l *Ledger) Lend(id, to, name string, tokens uint64) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -336,8 +337,8 @@
 	return n
 }
 
-// Tick reports use to the log and gives back what is idle, unless the log is away: it would
-// be out of use until that is back. dt is the time since the last tick.
+// Tick reports use to the log and returns idle tokens, the latter only while the log is
+// available: nobody could use them until it is back. dt is the time since the last tick.
 func (l *Ledger) Tick(now time.Time, dt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -346,19 +347,20 @@
 		a.smooth(dt)
 		l.settle(a)
 		if up {
-			l.giveBack(a, l.surplus(a, now))
+			l.returnTokens(a, l.surplus(a, now))
 		}
 	}
 }
 
-// watchLog says whether the log is up, and counts for how long it has been away. A longer time between two ticks than usual
-// is a standstill of this process, which tells nothing of the log.
+// watchLog reports whether the log is available, and counts how long it has been unavailable.
+// An unusually long time between two ticks means that this process stalled, which says nothing
+// about the log.
 func (l *Ledger) watchLog(dt time.Duration) (up bool) {
 	if l.logUp() {
-		l.down = 0
+		l.outage = 0
 		return true
 	}
-	l.down += min(dt, 2*l.cfg.SettleEvery)
+	l.outage += min(dt, 2*l.cfg.SettleEvery)
 	return false
 }
 
@@ -371,8 +373,8 @@
 	a.window = 0
 }
 
-// surplus is what the account holds beyond its demand: all of it when idle, and
-// near the end of the budget what it won't use soon.
+// surplus returns what the account holds beyond its demand: everything when idle, and
+// near the exhaustion of the budget what it will not use soon.
 func (l *Ledger) surplus(a *account, now time.Time) uint64 {
 	if l.cfg.FixedShare > 0 {
 		return 0
@@ -389,7 +391,7 @@
 	return 0
 }
 
-// settle reports use; it stays for the next tick if the outbox is full.
+// settle reports use to the log. If the outbox is full, the use is kept for the next tick.
 func (l *Ledger) settle(a *account) {
 	if a.used == 0 {
 		return
@@ -400,31 +402,31 @@
 	}
 }
 
-func (l *Ledger) giveBack(a *account, n uint64) {
+func (l *Ledger) returnTokens(a *account, n uint64) {
 	if n == 0 {
 		return
 	}
 	r := &peerv1.Return{Budget: a.name, Tokens: n}
 	if l.out.Put(&peerv1.Record{Kind: &peerv1.Record_Return{Return: r}}) == nil {
 		a.avail -= n
-		a.empty = false
+		a.exhausted = false
 	}
 }
 
-// ReturnAll settles and gives back all that is not reserved. It says whether
-// reservations remain.
+// ReturnAll settles use and returns all tokens that are not reserved. It reports
+// whether reservations remain.
 func (l *Ledger) ReturnAll() (reserved bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
 		l.settle(a)
-		l.giveBack(a, a.avail)
+		l.returnTokens(a, a.avail)
 		reserved = reserved || a.reserved > 0
 	}
 	return reserved
 }
 
-// Holding is what the ledger has of a budget, free and reserved.
+// Holding returns the ledger's available and reserved tokens of a budget.
 func (l *Ledger) Holding(name string) (avail, reserved uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/ledger/ledger_test.go
+++ b/daemon/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 
 const total = 1000
 
-// model is a few hosts that spend one budget through one log.
+// model is a cluster of hosts that spend one budget through one log.
 type model struct {
 	log   [][]byte
 	hosts []*host
@@ -26,16 +26,16 @@
 }
 
 type host struct {
-	model  *model
-	inc    string
-	store  *store.Store
-	ledger *Ledger
-	outbox []*peerv1.Record
-	seq    uint64
-	open   []*Reservation
-	dead   bool
-	cut    bool // from the log
-	lossy  bool // its loans' replies are lost
+	model       *model
+	inc         string
+	store       *store.Store
+	ledger      *Ledger
+	outbox      []*peerv1.Record
+	seq         uint64
+	open        []*Reservation
+	dead        bool
+	partitioned bool // partitioned from the log
+	lossy       bool // replies to its loan requests are lost
 }
 
 // Put queues records.
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Borrow asks all other hosts; the reply may be lost after the giver's debit.
+// Borrow asks all other hosts; a reply may be lost after the lender's debit.
 func (h *host) Borrow(_ context.Context, budget string, tokens uint64) uint64 {
 	var got uint64
 	for _, o := range h.model.hosts {
@@ -68,7 +68,7 @@
 	cfg := settings.Budgets{SliceSeconds: 5, MaxSlice: 300, LeftDivisor: 2, IdleAfter: time.Second, Wait: time.Nanosecond, Borrow: true}
 	for i := range 3 {
 		h := &host{model: m, inc: fmt.Sprint("h", i), store: store.New()}
-		h.ledger = New(h.inc, cfg, h, h.store, h, func() bool { return !h.cut })
+		h.ledger = New(h.inc, cfg, h, h.store, h, func() bool { return !h.partitioned })
 		h.store.Subscribe(h.ledger)
 		m.hosts = append(m.hosts, h)
 		_ = h.Put(&peerv1.Record{Kind: &peerv1.Record_Join{Join: &peerv1.Join{Host: h.inc}}})
@@ -84,7 +84,7 @@
 	return m
 }
 
-// append gets the outbox into the log, several times if replies are lost.
+// append writes the outbox to the log, several times if replies are lost.
 func (h *host) append(times int) {
 	if len(h.outbox) == 0 {
 		return
@@ -118,12 +118,12 @@
 	return h
 }
 
-// Reserve begins a request.
+// Reserve starts a request.
 func (m *model) Reserve(t *rapid.T) {
 	h := m.pick(t)
 	n := rapid.SampledFrom([]uint64{20, 90, 200}).Draw(t, "tokens")
 	r, err := h.ledger.Reserve(context.Background(), "b", n)
-	if err != nil && !h.cut && rapid.Bool().Draw(t, "again") {
+	if err != nil && !h.partitioned && rapid.Bool().Draw(t, "again") {
 		h.append(1)
 		h.read(len(m.log))
 		r, err = h.ledger.Reserve(context.Background(), "b", n)
@@ -137,18 +137,18 @@
 	}
 }
 
-// ReserveMore begins several requests.
+// ReserveMore starts several requests.
 func (m *model) ReserveMore(t *rapid.T) {
 	for range rapid.IntRange(1, 4).Draw(t, "requests") {
 		m.Reserve(t)
 	}
 }
 
-// Use ends a request: its target used up to what was reserved.
+// Use ends a request, whose target used at most what was reserved.
 func (m *model) Use(t *rapid.T) {
 	h := m.pick(t)
 	if len(h.open) == 0 {
-		t.Skip("none open")
+		t.Skip("no open request")
 	}
 	r := h.open[0]
 	h.open = h.open[1:]
@@ -157,34 +157,34 @@
 	r.Close(n)
 }
 
-// Tick settles and gives back.
+// Tick settles use and returns idle tokens.
 func (m *model) Tick(t *rapid.T) {
 	h := m.pick(t)
 	idle := time.Duration(rapid.IntRange(0, 1).Draw(t, "idle")) * time.Minute
 	h.ledger.Tick(time.Now().Add(idle), time.Second)
 }
 
-// Append gets records into the log, sometimes twice.
+// Append writes records to the log, sometimes twice.
 func (m *model) Append(t *rapid.T) {
 	h := m.pick(t)
-	if !h.cut {
+	if !h.partitioned {
 		h.append(rapid.IntRange(1, 2).Draw(t, "times"))
 	}
 }
 
-// Read lets a host read on.
+// Read lets a host read further in the log.
 func (m *model) Read(t *rapid.T) {
 	h := m.pick(t)
-	if !h.cut {
+	if !h.partitioned {
 		h.read(rapid.IntRange(1, 5).Draw(t, "entries"))
 	}
 }
 
-// Round lets all that are not cut off append and read all there is.
+// Round lets every reachable host append its outbox and read the whole log.
 func (m *model) Round(*rapid.T) {
 	for range 2 {
 		for _, h := range m.hosts {
-			if !h.dead && !h.cut {
+			if !h.dead && !h.partitioned {
 				h.append(1)
 				h.read(len(m.log))
 			}
@@ -192,23 +192,23 @@
 	}
 }
 
-// Cut cuts a host off from the log, or heals it.
+// Cut partitions a host from the log, or reconnects it.
 func (m *model) Cut(t *rapid.T) {
 	h := m.pick(t)
-	h.cut = !h.cut
+	h.partitioned = !h.partitioned
 }
 
-// Lossy begins or ends losing the replies to a host's loans.
+// Lossy starts or stops the loss of replies to a host's loan requests.
 func (m *model) Lossy(t *rapid.T) {
 	h := m.pick(t)
 	h.lossy = !h.lossy
 }
 
-// Die ends a host; its targets go on and use all that was reserved.
+// Die kills a host; its targets continue and use all that was reserved.
 func (m *model) Die(t *rapid.T) {
 	h := m.pick(t)
 	if rapid.IntRange(0, 19).Draw(t, "die") > 0 {
-		t.Skip("lives on")
+		t.Skip("stays alive")
 	}
 	h.dead = true
 	for _, r := range h.open {
@@ -216,7 +216,7 @@
 	}
 }
 
-// Evict ends any host, alive or not.
+// Evict removes any host from the view, alive or not.
 func (m *model) Evict(t *rapid.T) {
 	if rapid.IntRange(0, 11).Draw(t, "evict") > 0 {
 		t.Skip("not now")
@@ -225,7 +225,7 @@
 	_ = by.Put(&peerv1.Record{Kind: &peerv1.Record_Evict{Evict: &peerv1.Evict{Incarnation: victim.inc, Epoch: by.store.Epoch()}}})
 }
 
-// Check is the promise: what the targets used, and may still use for open
+// Check asserts the invariant: what the targets used, and may still use for open
 // requests, is within the budget.
 func (m *model) Check(t *rapid.T) {
 	sum := m.spent
@@ -242,7 +242,8 @@
 	}
 }
 
-// However takes, loans, cuts, deaths and evictions fall, the budget holds.
+// The budget is never overspent, whatever the order of takes, loans, partitions, crashes and
+// evictions.
 func TestNeverOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		t.Repeat(rapid.StateMachineActions(newModel()))
--- a/daemon/ledger/outage_test.go
+++ b/daemon/ledger/outage_test.go
@@ -13,48 +13,48 @@
 	"maststage.dev/fold"
 )
 
-// plenty is a budget of which far more is left than any test asks for.
-type plenty struct{}
+// ampleBudget is a budget with far more left than any test requests.
+type ampleBudget struct{}
 
 const budget = "b"
 
-func (plenty) Left(string) (int64, bool)                         { return 1_000_000, true }
-func (plenty) Sharers() int                                      { return 6 }
-func (plenty) Total(string) (uint64, bool)                       { return 1_000_000, true }
-func (plenty) Borrow(context.Context, string, uint64) (n uint64) { return 0 }
+func (ampleBudget) Left(string) (int64, bool)                         { return 1_000_000, true }
+func (ampleBudget) Sharers() int                                      { return 6 }
+func (ampleBudget) Total(string) (uint64, bool)                       { return 1_000_000, true }
+func (ampleBudget) Borrow(context.Context, string, uint64) (n uint64) { return 0 }
 
-// takes is an outbox that only counts what is asked for.
-type takes struct{ tokens atomic.Uint64 }
+// takeCounter is an outbox that only counts the tokens requested.
+type takeCounter struct{ tokens atomic.Uint64 }
 
-func (o *takes) Put(records ...*peerv1.Record) error {
+func (o *takeCounter) Put(records ...*peerv1.Record) error {
 	for _, r := range records {
 		o.tokens.Add(r.GetTake().GetTokens())
 	}
 	return nil
 }
 
-// grant tells the ledger that the log has all that was asked for.
-func (o *takes) grant(l *Ledger) {
+// grant notifies the ledger that everything requested was granted.
+func (o *takeCounter) grant(l *Ledger) {
 	l.Event(fold.Granted{Incarnation: "host", Budget: budget, Tokens: o.tokens.Swap(0)})
 }
 
-func outageLedger(wait time.Duration) (*Ledger, *takes, *atomic.Bool) {
+func outageLedger(wait time.Duration) (*Ledger, *takeCounter, *atomic.Bool) {
 	cfg := settings.Budgets{SliceSeconds: 60, MaxSlice: 100_000, LeftDivisor: 2, IdleAfter: 10 * time.Second, SettleEvery: 500 * time.Millisecond, Wait: wait, Borrow: true}
-	out, up := &takes{}, &atomic.Bool{}
+	out, up := &takeCounter{}, &atomic.Bool{}
 	up.Store(true)
-	return New("host", cfg, out, plenty{}, plenty{}, up.Load), out, up
+	return New("host", cfg, out, ampleBudget{}, ampleBudget{}, up.Load), out, up
 }
 
-// A host that has served a request serves the next ones while the log is away: it had taken just
-// what the first one needed, and refused them though the budget had plenty.
-func TestServedHostHoldsTokensForTheNextRequests(t *testing.T) {
+// Guards against a host that takes only what its first request needs, and then refuses the next
+// ones while the log is unavailable although the budget has plenty left.
+func TestHostHoldsTokensForNextRequestsInOutage(t *testing.T) {
 	is := is.New(t)
 	l, out, up := outageLedger(time.Second)
 	ctx := context.Background()
 	time.AfterFunc(20*time.Millisecond, func() { out.grant(l) })
 	first, err := l.Reserve(ctx, budget, 93)
 	is.NoErr(err)
-	out.grant(l) // what it asked for as it served the first
+	out.grant(l) // requested while serving the first
 	first.Close(61)
 	up.Store(false)
 	for range 3 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// A request is not refused for an outage of the log that is over within its wait for tokens.
-func TestRequestWaitsThroughAnOutageThatHasJustBegun(t *testing.T) {
+// A request is not refused because of a log outage that ends within its wait for tokens.
+func TestRequestWaitsThroughShortOutage(t *testing.T) {
 	is := is.New(t)
 	l, out, up := outageLedger(time.Second)
 	up.Store(false)
@@ -73,9 +73,9 @@
 	is.NoErr(err)
 }
 
-// lender has tokens for any loan.
+// lender grants any loan.
 type lender struct {
-	plenty
+	ampleBudget
 	ledger *Ledger
 }
 
@@ -84,9 +84,9 @@
 	return tokens
 }
 
-// A request borrows from other hosts when the log says nothing: it waited for its slice until it was
-// refused, as a log that says nothing is noticed as away only after a while.
-func TestRequestBorrowsWhileTheLogSaysNothing(t *testing.T) {
+// A request borrows from other hosts when the log does not respond. A silent log is recognised as
+// unavailable only after a while, so the request waited for its allocation until it was refused.
+func TestRequestBorrowsWhileLogIsSilent(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := outageLedger(time.Second)
 	l.lender = &lender{ledger: l}
@@ -94,8 +94,8 @@
 	is.NoErr(err)
 }
 
-// A standstill of this process is not taken for an outage that lasts.
-func TestRequestAfterAStandstillWaitsForTheLog(t *testing.T) {
+// A stall of this process is not mistaken for a long outage of the log.
+func TestProcessStallIsNotTakenForLogOutage(t *testing.T) {
 	is := is.New(t)
 	l, out, up := outageLedger(2 * time.Second)
 	up.Store(false)
@@ -105,8 +105,8 @@
 	is.NoErr(err)
 }
 
-// In an outage that lasts, a request that no host has tokens for is refused at once.
-func TestRequestIsRefusedAtOnceInALongOutage(t *testing.T) {
+// During a long outage, a request for which no host has tokens is refused at once.
+func TestRequestIsRefusedAtOnceInLongOutage(t *testing.T) {
 	is := is.New(t)
 	l, _, up := outageLedger(time.Second)
 	up.Store(false)
@@ -119,9 +119,9 @@
 	is.True(time.Since(began) < 500*time.Millisecond)
 }
 
-// Idle tokens stay where they are while the log is away: given back, nobody could spend them until
-// it had taken the record.
-func TestNothingIsGivenBackWhileTheLogIsAway(t *testing.T) {
+// Idle tokens are kept while the log is unavailable: once returned, nobody could spend them until
+// the log had accepted the record.
+func TestIdleTokensAreKeptDuringOutage(t *testing.T) {
 	is := is.New(t)
 	l, out, up := outageLedger(time.Second)
 	time.AfterFunc(20*time.Millisecond, func() { out.grant(l) })
