--- a/daemon/run/try.go
+++ b/daemon/run/attempt.go
@@ -14,31 +14,31 @@
 	"maststage.dev/lib/errkind"
 )
 
-// cancelTimeout bounds the wait for a target to say what a request used.
+// cancelTimeout bounds the wait for a target to report what a request used.
 const cancelTimeout = 300 * time.Millisecond
 
-// verdict is how a try at a target ended.
+// verdict is the result of an attempt at a target.
 type verdict int
 
 const (
-	whole  verdict = iota // the answer is complete
-	notRun                // the target surely did not begin
-	broken                // it began, or may have
+	completed  verdict = iota // the response is complete
+	notStarted                // the target certainly did not start it
+	broken                    // the target started it, or may have
 )
 
-// try is one order to one target.
-type try struct {
+// attempt is the outcome of one attempt at one target.
+type attempt struct {
 	verdict verdict
-	left    bool // the target says it is leaving
+	leaving bool // the target reports that it is leaving
 	err     error
 	gap     time.Duration
 }
 
-// tryTargets sends the order to one target after another until one answers.
-func (j *job) tryTargets(ctx context.Context, order func(context.Context, *target.Target) try) error {
+// attemptTargets sends the order to one target after another until a response is complete.
+func (j *job) attemptTargets(ctx context.Context, order func(context.Context, *target.Target) attempt) error {
 	tried := map[string]bool{}
 	for n := 0; ; n++ {
-		if err := j.cover(ctx); err != nil {
+		if err := j.extendReservation(ctx); err != nil {
 			return err
 		}
 		queued := time.Now()
@@ -52,22 +52,22 @@
 		res := order(ctx, t)
 		j.engine.targets.Release(t, target.Result{
 			Priority: j.decision.Rank,
-			Failed:   res.verdict == broken && ctx.Err() == nil, Left: res.left,
+			Failed:   res.verdict == broken && ctx.Err() == nil, Left: res.leaving,
 			Held: time.Since(begun), Gap: res.gap,
 		})
-		if res.verdict == whole {
+		if res.verdict == completed {
 			return nil
 		}
-		j.line().WithFields(log.Fields{"target": t.Name, "chunks": j.run.next(), "begun": res.verdict == broken}).
+		j.logEntry().WithFields(log.Fields{"target": t.Name, "chunks": j.run.next(), "begun": res.verdict == broken}).
 			WithError(res.err).Info("target given up")
 		tried[t.Name] = true
-		if err := j.again(ctx, n, res); err != nil {
+		if err := j.checkRetry(ctx, n, res); err != nil {
 			return err
 		}
 	}
 }
 
-// acquire gets a slot at a target that was not tried, or at any if all were.
+// acquire gets a slot at a target not yet attempted, or at any once all have been.
 func (j *job) acquire(ctx context.Context, tried map[string]bool) (*target.Target, error) {
 	t, err := j.engine.targets.Acquire(ctx, j.want(tried))
 	if err != nil && len(tried) > 0 && errkind.From(err).Kind == errkind.Unavailable {
@@ -77,8 +77,8 @@
 	return t, err
 }
 
-// again says why no other target is tried, nil if one is.
-func (j *job) again(ctx context.Context, n int, res try) error {
+// checkRetry returns nil if another target is to be attempted, otherwise the reason why not.
+func (j *job) checkRetry(ctx context.Context, n int, res attempt) error {
 	if ctx.Err() != nil {
 		return j.cause(ctx, res.err)
 	}
@@ -89,13 +89,13 @@
 		if j.dispatched {
 			return errkind.New(errkind.TargetFailed, "no more tries: %w", res.err)
 		}
-		// Overloaded rather than Unavailable: another host would find the same.
+		// Overloaded rather than Unavailable: another host would fare no better.
 		return errkind.New(errkind.Overloaded, "no target takes it: %w", res.err)
 	}
 	return nil
 }
 
-// cause prefers the reason for which ctx ended to err.
+// cause returns the cause of ctx if it has ended, else err.
 func (j *job) cause(ctx context.Context, err error) error {
 	if ctx.Err() == nil {
 		return err
@@ -106,8 +106,8 @@
 	return err
 }
 
-// cancelAt stops a run at a target and says what it used, or worst if the target
-// can't say.
+// cancelAt cancels a run at a target and returns what it used, or worst if the target
+// does not know.
 func (j *job) cancelAt(t *target.Target, worst uint64) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -118,13 +118,13 @@
 	return uint64(res.Msg.Tokens)
 }
 
-// classify says from a target's error whether it began with the order. Only a
-// refused connection and the target's own word count as "did not".
-func classify(err error) try {
-	t := try{verdict: broken, err: err}
+// classify derives from a target's error whether the target started the order. Only a
+// failed connection attempt and the target's own refusal count as not started.
+func classify(err error) attempt {
+	t := attempt{verdict: broken, err: err}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		t.verdict = notRun
+		t.verdict = notStarted
 		return t
 	}
 	var ce *connect.Error
@@ -133,11 +133,11 @@
 	}
 	switch ce.Code() {
 	case connect.CodeResourceExhausted, connect.CodeFailedPrecondition, connect.CodePermissionDenied:
-		t.verdict = notRun
+		t.verdict = notStarted
 	case connect.CodeUnavailable:
-		// A target that leaves says so before it begins.
-		t.verdict = notRun
-		t.left = true
+		// A leaving target refuses before it starts the order.
+		t.verdict = notStarted
+		t.leaving = true
 	}
 	return t
 }
--- a/daemon/run/generate.go
+++ b/daemon/run/generate.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	prefixBytes = 256 // of a prompt, hashed to find a target that has it cached
-	gapFactor   = 8   // times the mean gap between tokens is silence
+	prefixBytes = 256 // leading bytes of a prompt that are hashed, to find a target that has them cached
+	gapFactor   = 8   // a stream is silent after this many mean token gaps
 	tokenRing   = 64
-	// silenceSteps is in how many steps a target's silence is counted. A time in which this
-	// host itself stood still counts as one of them: it is no silence of the target, and the
-	// stream that lies in the connection would be run again elsewhere.
+	// silenceSteps is the number of timer steps in which a target's silence is counted. A stall
+	// of this host counts as at most one step: it is not silence of the target, and the part of
+	// the stream that is already buffered in the connection would be run again elsewhere.
 	silenceSteps = 8
 )
 
@@ -32,10 +32,10 @@
 	return h.Sum64()
 }
 
-// generate streams an answer from a model engine. A stream that breaks is
-// resumed at another target behind the last token that was passed on.
+// generate streams a response from a model engine. A broken stream is resumed at
+// another target after the last token that was recorded.
 func (j *job) generate(ctx context.Context) (billed uint64, err error) {
-	err = j.tryTargets(ctx, j.generateAt)
+	err = j.attemptTargets(ctx, j.generateAt)
 	if err != nil {
 		return 0, err
 	}
@@ -43,7 +43,7 @@
 }
 
 // generateAt streams from one target.
-func (j *job) generateAt(ctx context.Context, t *target.Target) try {
+func (j *job) generateAt(ctx context.Context, t *target.Target) attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	from := j.run.next()
@@ -51,21 +51,21 @@
 	before := j.dispatched
 	j.dispatched = true
 	guard.Go("target stream", func() { s.read(ctx) })
-	res := s.pass(ctx)
-	if res.verdict == notRun {
+	res := s.receive(ctx)
+	if res.verdict == notStarted {
 		j.dispatched = before
 	}
-	j.settleTry(s, res.verdict)
+	j.settleAttempt(s, res.verdict)
 	return res
 }
 
-// settleTry adds what a try used. A target that broke off or overran is told to
-// cancel and asked; if it can't say, the worst case counts.
-func (j *job) settleTry(s *stream, v verdict) {
-	if v == notRun {
+// settleAttempt adds the tokens that an attempt used. A target that broke off or overran is
+// sent a cancel, which returns its use; if it does not know, the worst case counts.
+func (j *job) settleAttempt(s *stream, v verdict) {
+	if v == notStarted {
 		return
 	}
-	if v == whole && !s.overran {
+	if v == completed && !s.overran {
 		j.used += j.promptTokens() + uint64(j.run.next()-s.from)
 		return
 	}
@@ -73,18 +73,18 @@
 	j.used += j.cancelAt(s.target, j.promptTokens()+left+j.margin())
 }
 
-// stream is the answer of one target.
+// stream is the response of one target.
 type stream struct {
 	job    *job
 	target *target.Target
 	from   uint32
-	ring   chan *platformv1.GenerateResponse // when full, the target is not read on
+	ring   chan *platformv1.GenerateResponse // when full, reading from the target stops
 	failed chan error
-	// overran says that the target went on past the maximum and was cut there.
+	// overran says that the target exceeded the maximum and was cut off there.
 	overran bool
 }
 
-// read moves messages from the connection into the ring.
+// read moves messages from the connection to the ring.
 func (s *stream) read(ctx context.Context) {
 	j := s.job
 	st, err := s.target.Client.Generate(ctx, connect.NewRequest(&platformv1.GenerateRequest{
@@ -111,8 +111,8 @@
 	s.failed <- err
 }
 
-// pass hands tokens on and watches for silence.
-func (s *stream) pass(ctx context.Context) try {
+// receive records the tokens of the stream and watches for silence.
+func (s *stream) receive(ctx context.Context) attempt {
 	j := s.job
 	limit := j.engine.watch.FirstToken
 	begun := time.Now()
@@ -123,39 +123,39 @@
 	for {
 		select {
 		case m := <-s.ring:
-			done, err := s.take(m)
+			done, err := s.accept(m)
 			if done || err != nil {
 				return s.ended(err, begun)
 			}
 			now := time.Now()
 			j.gap(now, last)
 			last = now
-			limit, steps = s.patience(begun, now), 0
+			limit, steps = s.silenceLimit(begun, now), 0
 			step.Reset(limit / silenceSteps)
 		case err := <-s.failed:
 			return s.drain(err, begun)
 		case <-step.C:
 			if steps++; steps >= silenceSteps {
-				return try{verdict: broken, err: errkind.New(errkind.TargetFailed, "silent for %v", time.Since(last))}
+				return attempt{verdict: broken, err: errkind.New(errkind.TargetFailed, "silent for %v", time.Since(last))}
 			}
 			step.Reset(limit / silenceSteps)
 		case <-ctx.Done():
-			return try{verdict: broken, err: ctx.Err()}
+			return attempt{verdict: broken, err: ctx.Err()}
 		}
 	}
 }
 
-// drain hands on what came before the connection failed.
-func (s *stream) drain(err error, begun time.Time) try {
+// drain records the messages received before the connection failed.
+func (s *stream) drain(err error, begun time.Time) attempt {
 	for {
 		select {
 		case m := <-s.ring:
-			if done, wrong := s.take(m); done || wrong != nil {
+			if done, wrong := s.accept(m); done || wrong != nil {
 				return s.ended(wrong, begun)
 			}
 		default:
 			t := classify(err)
-			if t.verdict == notRun && s.job.run.next() > s.from {
+			if t.verdict == notStarted && s.job.run.next() > s.from {
 				t.verdict = broken
 			}
 			return t
@@ -163,26 +163,27 @@
 	}
 }
 
-func (s *stream) ended(err error, begun time.Time) try {
+func (s *stream) ended(err error, begun time.Time) attempt {
 	if err != nil {
-		return try{verdict: broken, err: err}
+		return attempt{verdict: broken, err: err}
 	}
-	t := try{verdict: whole}
+	t := attempt{verdict: completed}
 	if n := s.job.run.next() - s.from; n > 0 {
 		t.gap = time.Since(begun) / time.Duration(n)
 	}
 	return t
 }
 
-// patience is how long the stream may be silent: several times its own pace.
-func (s *stream) patience(begun, now time.Time) time.Duration {
+// silenceLimit returns how long the stream may be silent: several times its mean token gap, at
+// least the setting silent_after.
+func (s *stream) silenceLimit(begun, now time.Time) time.Duration {
 	n := max(s.job.run.next()-s.from, 1)
 	return max(s.job.engine.watch.SilentAfter, gapFactor*now.Sub(begun)/time.Duration(n))
 }
 
-// take checks one message and passes its token on. The answer is done at its
-// end mark, or at the maximum if the target goes on past it.
-func (s *stream) take(m *platformv1.GenerateResponse) (done bool, err error) {
+// accept checks one message and records its token. The response is complete at its end
+// marker, or at the maximum if the target exceeds it.
+func (s *stream) accept(m *platformv1.GenerateResponse) (done bool, err error) {
 	j := s.job
 	if m.RequestId != j.run.id {
 		return false, errkind.New(errkind.TargetFailed, "the answer belongs to another request")
@@ -195,7 +196,7 @@
 	}
 	switch next := j.run.next(); {
 	case m.Index < next:
-		return false, nil // sent twice
+		return false, nil // duplicate
 	case m.Index > next:
 		return false, errkind.New(errkind.TargetFailed, "token %d came where %d was next", m.Index, next)
 	case int(next) >= j.decision.Tokens:
@@ -206,7 +207,7 @@
 	return false, nil
 }
 
-// gap records the time between tokens, or to the first one.
+// gap records the time between two tokens, or until the first one.
 func (j *job) gap(now, last time.Time) {
 	if j.first.IsZero() {
 		j.first = now
--- a/daemon/run/invoke.go
+++ b/daemon/run/invoke.go
@@ -11,9 +11,9 @@
 	"maststage.dev/lib/errkind"
 )
 
-// invoke calls a plain service; the whole answer is one chunk.
+// invoke calls a service that does not stream; the whole response is one chunk.
 func (j *job) invoke(ctx context.Context) (billed uint64, err error) {
-	err = j.tryTargets(ctx, func(ctx context.Context, t *target.Target) try {
+	err = j.attemptTargets(ctx, func(ctx context.Context, t *target.Target) attempt {
 		res, tokens := j.invokeAt(ctx, t)
 		billed = tokens
 		return res
@@ -21,11 +21,11 @@
 	return billed, err
 }
 
-// invokeAt calls one target; tokens is what a whole answer used.
-func (j *job) invokeAt(ctx context.Context, t *target.Target) (res try, tokens uint64) {
+// invokeAt calls one target; tokens is the use of a complete response.
+func (j *job) invokeAt(ctx context.Context, t *target.Target) (res attempt, tokens uint64) {
 	if !j.decision.Single {
-		// A call that may be repeated does not wait for a silent target till
-		// its deadline.
+		// A call that may be repeated leaves time before its deadline for
+		// another target if this one is silent.
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, max(j.engine.watch.SilentAfter, time.Until(j.deadline())/3))
 		defer cancel()
@@ -40,7 +40,7 @@
 	}
 	if err != nil {
 		res = classify(err)
-		if res.verdict == notRun {
+		if res.verdict == notStarted {
 			j.dispatched = before
 		} else {
 			j.used += uint64(j.decision.Tokens)
@@ -50,5 +50,5 @@
 	tokens = uint64(out.Msg.Tokens)
 	j.used += tokens
 	j.run.add(out.Msg.Output)
-	return try{verdict: whole}, tokens
+	return attempt{verdict: completed}, tokens
 }
--- a/daemon/run/job.go
+++ b/daemon/run/job.go
@@ -16,10 +16,10 @@
 	"maststage.dev/lib/policy"
 )
 
-// errMoved is the cause of a job's end when its run is handed over.
+// errMoved is the cancellation cause of a job whose run is handed over.
 var errMoved = errors.New("handed over to another host")
 
-// job carries one run out, on a goroutine of its own. Counts are tokens.
+// job executes one run in its own goroutine. Counts are tokens.
 type job struct {
 	engine   *Engine
 	run      *run
@@ -33,13 +33,13 @@
 
 	res        *ledger.Reservation
 	grant      *claim.Grant
-	used       uint64 // at targets so far, the worst case where it isn't known
+	used       uint64 // by targets so far; the worst case where unknown
 	dispatched bool   // a target may have run it
 	first      time.Time
-	target     string // the last one tried
+	target     string // last target attempted
 }
 
-// do runs the request and settles all that hangs on it.
+// do runs the request, settles its reservation and finishes the run.
 func (j *job) do() {
 	ctx, cancel := context.WithDeadlineCause(context.Background(), j.start.Add(j.decision.Within),
 		errkind.New(errkind.Deadline, "not done within %v", j.decision.Within))
@@ -48,7 +48,7 @@
 	defer stop(nil)
 	if !j.decision.Single && j.pool.Kind == declare.Engine {
 		j.run.mu.Lock()
-		j.run.movable = func() { stop(errMoved) }
+		j.run.stopForMove = func() { stop(errMoved) }
 		j.run.mu.Unlock()
 	}
 	billed, err := j.serve(ctx)
@@ -58,7 +58,7 @@
 	j.finish(ctx, billed, err)
 }
 
-// serve gets the answer; billed is what the caller pays.
+// serve obtains the response; billed is what the caller pays.
 func (j *job) serve(ctx context.Context) (billed uint64, err error) {
 	if err := j.prepare(ctx); err != nil {
 		return 0, err
@@ -69,14 +69,15 @@
 	return j.invoke(ctx)
 }
 
-// prepare checks for room, reserves the worst case and gets the claim.
+// prepare checks target capacity, reserves the worst case and, if the request must not be
+// repeated, acquires the claim.
 func (j *job) prepare(ctx context.Context) error {
 	e := j.engine
 	if err := e.targets.Admit(j.want(nil), time.Until(j.deadline())); err != nil {
 		return err
 	}
 	var err error
-	j.res, err = j.self.Ledger.Reserve(ctx, j.budget, j.worst())
+	j.res, err = j.self.Ledger.Reserve(ctx, j.budget, j.worstCase())
 	if err != nil {
 		return err
 	}
@@ -100,8 +101,8 @@
 	}
 }
 
-// worst is the most that one more try at a target can use.
-func (j *job) worst() uint64 {
+// worstCase returns the most that one more attempt at a target can use.
+func (j *job) worstCase() uint64 {
 	if j.pool.Kind == declare.Service {
 		return uint64(j.decision.Tokens)
 	}
@@ -109,7 +110,7 @@
 	return j.promptTokens() + left + j.margin()
 }
 
-// margin is what is reserved for a target that overruns its maximum.
+// margin returns the reserve for a target that exceeds its maximum.
 func (j *job) margin() uint64 {
 	if j.decision.Spare >= 0 {
 		return uint64(j.decision.Spare)
@@ -117,27 +118,27 @@
 	return uint64(j.engine.budgets.Overrun)
 }
 
-// bytesPerToken is how the targets count a prompt.
+// bytesPerToken is the ratio by which the targets count the tokens of a prompt.
 const bytesPerToken = 4
 
 func (j *job) promptTokens() uint64 { return PromptTokens(j.run.req.Input) }
 
-// PromptTokens is what a prompt of this input counts at a target, at most.
+// PromptTokens returns the most that a target counts for this input as a prompt.
 func PromptTokens(input []byte) uint64 {
 	return uint64(len(input)+bytesPerToken-1) / bytesPerToken
 }
 
-// cover makes sure that the reservation covers another try.
-func (j *job) cover(ctx context.Context) error {
-	need := j.used + j.worst()
+// extendReservation extends the reservation to extendReservation another attempt.
+func (j *job) extendReservation(ctx context.Context) error {
+	need := j.used + j.worstCase()
 	if need <= j.res.Tokens() {
 		return nil
 	}
 	return j.res.Grow(ctx, need-j.res.Tokens())
 }
 
-// finish ends the run: with its bill kept, or with an error that says truly
-// whether it was run.
+// finish ends the run, either with its bill secured or with an error that is accurate
+// about whether the request was run.
 func (j *job) finish(ctx context.Context, billed uint64, err error) {
 	var taken *claim.Taken
 	if err == nil {
@@ -149,7 +150,7 @@
 	case errors.Is(context.Cause(ctx), errMoved):
 		j.run.move()
 	case errors.As(err, &taken):
-		j.run.hand(taken.Incarnation)
+		j.run.redirect(taken.Incarnation)
 	default:
 		err = j.truthful(err)
 		j.run.fail(errkind.From(err))
@@ -161,8 +162,8 @@
 	j.engine.finished(j.run, j.dispatched)
 }
 
-// truthful turns an error that says "not run" into Unknown or TargetFailed once
-// a target may have run the request.
+// truthful replaces an error that means "not run" by Unknown or TargetFailed if a
+// target may have run the request.
 func (j *job) truthful(err error) error {
 	e := errkind.From(err)
 	if !j.dispatched {
@@ -185,19 +186,19 @@
 	return j.self.Bills.Keep(context.Background(), b, j.engine.cfg.BillWait)
 }
 
-// line has the fields of a log line of this request. Neither input nor answer is logged.
-func (j *job) line() *log.Entry {
+// logEntry returns a log entry with the fields of this request. Neither input nor response is logged.
+func (j *job) logEntry() *log.Entry {
 	return log.WithFields(log.Fields{
 		"request": j.run.req.RequestId, "organisation": j.org, "class": j.class,
 		"incarnation": j.run.inc, "attempt": j.run.req.Attempt, "from": j.run.base,
 	})
 }
 
-// repeated says whether an earlier attempt may have run the request.
+// repeated reports whether an earlier attempt may have run the request.
 func (j *job) repeated() bool { return j.run.req.Attempt > 1 || j.run.base > 0 }
 
-// level of the lines of ordinary progress: those of repeated requests show where a second run
-// came from, and are few.
+// level returns the log level of ordinary progress. Lines of repeated requests are few and show
+// where a second run came from, so they are logged at a higher level.
 func (j *job) level() log.Level {
 	if j.repeated() {
 		return log.InfoLevel
@@ -205,13 +206,13 @@
 	return log.DebugLevel
 }
 
-func (j *job) logBegin() { j.line().Log(j.level(), "request begun") }
+func (j *job) logBegin() { j.logEntry().Log(j.level(), "request begun") }
 
-// report counts and logs the end of the request.
+// report logs the end of the request and adds it to the metrics.
 func (j *job) report(billed uint64, err error) {
 	took := time.Since(j.start)
 	kind := "ok"
-	entry := j.line().WithFields(log.Fields{
+	entry := j.logEntry().WithFields(log.Fields{
 		"target": j.target, "took": took.Round(time.Millisecond), "chunks": j.run.next(), "billed": billed, "used": j.used,
 	})
 	if err != nil {
--- a/daemon/run/run.go
+++ b/daemon/run/run.go
@@ -1,6 +1,6 @@
-// Package run carries requests out on the host that answers for their id: it
-// decides by policy, reserves tokens, claims, picks a target, passes the answer
-// on, bills, and keeps the answer for retries.
+// Package run executes requests on the host that is responsible for their id: it
+// applies the policy, reserves tokens, acquires the claim, chooses a target, relays
+// the response, bills it, and keeps it for retries.
 package run
 
 import (
@@ -24,12 +24,12 @@
 	"maststage.dev/lib/standstill"
 )
 
-// logDownRetry is when to come back if a policy needs the log and it is down.
+// logDownRetry is the Retry-After of a request whose policy needs the log while it is unavailable.
 const logDownRetry = 5 * time.Second
 
-// Identity is one incarnation of this host and what it owns. A host that was
-// evicted while alive gets a new one; what was begun under the old one is
-// finished under it.
+// Identity is one incarnation of this host and the state it owns. A host that is
+// evicted while alive gets a new one; requests started under the old one finish
+// under it.
 type Identity struct {
 	Incarnation string
 	Ledger      *ledger.Ledger
@@ -38,14 +38,14 @@
 	Bills       *bill.Keeper
 }
 
-// Host is the host that runs the engine.
+// Host is the state of the host that the engine depends on.
 type Host interface {
 	Identity() *Identity
 	LogUp() bool
 	Draining() bool
 }
 
-// Engine runs the requests whose ids this host answers for.
+// Engine runs the requests whose ids this host is responsible for.
 type Engine struct {
 	cfg     settings.Requests
 	watch   settings.Targets
@@ -59,11 +59,11 @@
 	mu    sync.Mutex
 	runs  map[string]*run
 	open  int
-	bytes int    // of kept answers
+	bytes int    // size of kept responses
 	done  []*run // kept, oldest first
 }
 
-// Options are the parts an engine needs.
+// Options holds the dependencies of an engine.
 type Options struct {
 	Requests settings.Requests
 	Targets  settings.Targets
@@ -74,7 +74,7 @@
 	Metrics  *metric.Set
 }
 
-// New makes an engine.
+// New returns an engine.
 func New(o Options) *Engine {
 	return &Engine{
 		cfg: o.Requests, watch: o.Targets, budgets: o.Budgets, host: o.Host, store: o.Store,
@@ -83,12 +83,12 @@
 	}
 }
 
-// Send passes a message on to whoever asked.
+// Send sends a message to the caller of Execute.
 type Send func(*peerv1.ExecuteResponse) error
 
-// Execute runs a request, or joins the run it has already. Failures go out as
-// messages; the error is that of send or of ctx. Nothing is begun for a caller
-// that has gone.
+// Execute runs a request, or follows its existing run. Failures are sent as
+// messages; the error is that of send or of ctx. Nothing is started for a caller
+// that has disconnected.
 func (e *Engine) Execute(ctx context.Context, req *peerv1.ExecuteRequest, send Send) error {
 	id := Key(req.Organisation, req.RequestId)
 	if err := e.awake.Settle(ctx); err != nil {
@@ -109,7 +109,7 @@
 	return r.follow(ctx, req, send)
 }
 
-// Key is the id of a request in the fold: the caller's id within its organisation.
+// Key returns the id of a request in the folded log: the caller's id within its organisation.
 func Key(organisation, requestID string) string { return organisation + "/" + requestID }
 
 func failure(requestID string, err *errkind.Error) *peerv1.ExecuteResponse {
@@ -118,8 +118,8 @@
 	}}
 }
 
-// find gives the run of an id, new or old, or the incarnation that has it; none of them if the
-// request is only to join a run and there is none.
+// find returns the existing or a new run of an id, or the incarnation that has it; neither if the
+// request may only join a run and there is none.
 func (e *Engine) find(id string, req *peerv1.ExecuteRequest) (r *run, redirect string, failed *errkind.Error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,11 +147,11 @@
 	}
 	self := e.host.Identity()
 	if decision.Single {
-		if redirect, err := e.earlier(self, id); redirect != "" || err != nil {
+		if redirect, err := e.earlierRun(self, id); redirect != "" || err != nil {
 			return nil, redirect, err
 		}
 	}
-	if err := e.closed(decision); err != nil {
+	if err := e.refusal(decision); err != nil {
 		return nil, "", err
 	}
 	r = newRun(id, req)
@@ -168,8 +168,8 @@
 	return r, "", nil
 }
 
-// closed says why this host begins no new run, nil if it does.
-func (e *Engine) closed(d policy.Decision) *errkind.Error {
+// refusal returns the reason why this host starts no new run, nil if it does.
+func (e *Engine) refusal(d policy.Decision) *errkind.Error {
 	switch {
 	case e.host.Draining():
 		return errkind.New(errkind.Draining, "this host is stopping")
@@ -181,9 +181,10 @@
 	return nil
 }
 
-// earlier says what is known of an earlier run of a request that may not be
-// repeated and is not in the table of runs.
-func (e *Engine) earlier(self *Identity, id string) (redirect string, err *errkind.Error) {
+// earlierRun looks for an earlierRun run of a request that must not be repeated and is not
+// in the table of runs. It returns the incarnation that has it, or an error if the
+// request cannot be run again; neither if it may run here.
+func (e *Engine) earlierRun(self *Identity, id string) (redirect string, err *errkind.Error) {
 	f, _ := e.store.Fact(id)
 	if f.Billed {
 		return "", errkind.New(errkind.Done, "run and billed before, the answer is no longer kept")
@@ -196,8 +197,8 @@
 	}
 	holder := fact.Incarnation(self.Register.Holder(id))
 	if holder == "" || holder == self.Incarnation {
-		// Held here for this host itself and not in the log: a try that was given
-		// up, for a run would still be in the table.
+		// A claim of this incarnation that is held here and not in the log is from an
+		// abandoned attempt; a run would still be in the table.
 		return "", nil
 	}
 	if _, live := e.store.Member(holder); live {
@@ -206,7 +207,7 @@
 	return "", errkind.New(errkind.Unknown, "claimed by %s, which is gone", holder)
 }
 
-// Decide finds the organisation of a request and runs its policy.
+// Decide looks up the organisation of a request and evaluates its policy.
 func Decide(set *declare.Set, req *peerv1.ExecuteRequest, logUp bool) (*declare.Organisation, policy.Decision, *errkind.Error) {
 	org := set.Organisations[req.Organisation]
 	if org == nil {
@@ -235,8 +236,8 @@
 	return org, d, nil
 }
 
-// finished is told of a run's end: it keeps the answer for retries, or drops a
-// run that was refused, so that it can be tried again.
+// finished handles the end of a run: it keeps the response for retries or, if keep is
+// false, drops the run, so that the request can be retried.
 func (e *Engine) finished(r *run, keep bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -253,8 +254,8 @@
 	e.expire(r.doneAt)
 }
 
-// unlogged says whether only this host knows that it has run a request that may
-// not be repeated: the run must be kept then.
+// unlogged reports whether only this host knows that it ran a request that must not
+// be repeated. Such a run must be kept.
 func (e *Engine) unlogged(r *run) bool {
 	if !r.single {
 		return false
@@ -263,10 +264,10 @@
 	return f.By(r.inc) == "" && !f.Billed
 }
 
-// Run watches for standstills of this process until ctx ends.
+// Run watches for stalls of this process until ctx ends.
 func (e *Engine) Run(ctx context.Context) { e.awake.Run(ctx) }
 
-// Tick drops kept answers that are old.
+// Tick drops kept responses that have expired.
 func (e *Engine) Tick(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -293,15 +294,15 @@
 	}
 }
 
-// Open is how many requests are in progress.
+// Open returns the number of requests in progress.
 func (e *Engine) Open() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.open
 }
 
-// HandOver ends the runs that may go on elsewhere with the word that they
-// moved, for a planned stop that can't wait for them.
+// HandOver ends the runs that can continue on another host and tells their followers
+// that they moved. It serves a graceful shutdown that cannot wait for them.
 func (e *Engine) HandOver() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/run/table.go
+++ b/daemon/run/runs.go
@@ -9,33 +9,33 @@
 	"maststage.dev/lib/errkind"
 )
 
-// run is one request in progress, or its kept answer.
+// run is a request in progress, or its kept response.
 type run struct {
 	id     string
 	req    *peerv1.ExecuteRequest
 	inc    string // the incarnation that runs it
-	base   uint32 // number of the first chunk kept here
+	base   uint32 // index of the first chunk kept here
 	doneAt time.Time
 	size   int // bytes of chunks
 
-	mu      sync.Mutex
-	chunks  [][]byte
-	ended   bool
-	billed  uint64
-	failed  *errkind.Error
-	moved   bool
-	taken   string // the incarnation that has the request instead
-	single  bool   // may not be repeated
-	movable func() // ends the job for a hand-over; nil: it may not move
-	changed chan struct{}
+	mu          sync.Mutex
+	chunks      [][]byte
+	ended       bool
+	billed      uint64
+	failed      *errkind.Error
+	moved       bool
+	redirectTo  string // the other incarnation that has the request
+	single      bool   // must not be repeated
+	stopForMove func() // stops the job for a handover; nil if it cannot move
+	changed     chan struct{}
 }
 
 func newRun(id string, req *peerv1.ExecuteRequest) *run {
 	return &run{id: id, req: req, base: req.ResumeFrom, changed: make(chan struct{})}
 }
 
-// replaceable says whether a retry may start the request anew: it failed, and
-// may be repeated. Runs that failed without being run are not in the table.
+// replaceable reports whether a retry may start the request again: the run moved, or
+// failed and may be repeated. Runs that failed before dispatch are not in the table.
 func (r *run) replaceable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +47,7 @@
 	r.changed = make(chan struct{})
 }
 
-// next is the number of the next chunk.
+// next returns the index of the next chunk.
 func (r *run) next() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,11 +78,11 @@
 	r.signal()
 }
 
-// hand says that another incarnation has the request.
-func (r *run) hand(to string) {
+// redirect records that another incarnation has the request.
+func (r *run) redirect(to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taken = to
+	r.redirectTo = to
 	r.signal()
 }
 
@@ -93,17 +93,18 @@
 	r.signal()
 }
 
-// handOver asks the job to stop so that another host can go on.
+// handOver stops the job, if it can move, so that another host can continue.
 func (r *run) handOver() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.movable != nil {
-		r.movable()
+	if r.stopForMove != nil {
+		r.stopForMove()
 	}
 }
 
-// glance copies what a follower needs from chunk number from on.
-func (r *run) glance(from uint32) (chunks [][]byte, final *peerv1.ExecuteResponse, changed <-chan struct{}) {
+// progress returns the chunks from an index on, the final message if the run has ended, and a
+// channel that is closed on the next change.
+func (r *run) progress(from uint32) (chunks [][]byte, final *peerv1.ExecuteResponse, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i := int(from - r.base); i < len(r.chunks) {
@@ -112,8 +113,8 @@
 	switch {
 	case r.failed != nil:
 		final = failure(r.req.RequestId, r.failed)
-	case r.taken != "":
-		final = &peerv1.ExecuteResponse{RequestId: r.req.RequestId, Redirect: r.taken}
+	case r.redirectTo != "":
+		final = &peerv1.ExecuteResponse{RequestId: r.req.RequestId, Redirect: r.redirectTo}
 	case r.moved:
 		final = &peerv1.ExecuteResponse{RequestId: r.req.RequestId, Moved: true}
 	case r.ended:
@@ -125,11 +126,11 @@
 	return chunks, final, r.changed
 }
 
-// follow passes a run on from the chunk asked for to its end.
+// follow sends a run from the requested chunk to its end.
 func (r *run) follow(ctx context.Context, req *peerv1.ExecuteRequest, send Send) error {
 	at := req.ResumeFrom
 	for {
-		chunks, final, changed := r.glance(at)
+		chunks, final, changed := r.progress(at)
 		for _, c := range chunks {
 			if err := send(&peerv1.ExecuteResponse{RequestId: req.RequestId, Index: at, Data: c}); err != nil {
 				return err
