--- a/daemon/entry/attempt.go
+++ b/daemon/entry/attempt.go
@@ -19,29 +19,29 @@
 
 // outcome is how an attempt at one host ended.
 type outcome struct {
-	done     bool
-	accepted bool // the host has a run of it
-	none     bool // the host has none, and was not to begin one
-	moved    bool
-	redirect string
-	refused  *errkind.Error // the host's own answer
-	lost     error          // the host could not be reached, or was lost
-	sent     bool           // lost after the host may have begun
-	caller   error          // the caller is gone
+	done      bool
+	accepted  bool // the host has a run of the request
+	none      bool // the host has no run, and was not to start one
+	moved     bool
+	redirect  string
+	refused   *errkind.Error // error reported by the host itself
+	lost      error          // the host was unreachable, or the connection broke
+	sent      bool           // lost after the host may have started
+	callerErr error          // sending to the caller failed
 }
 
-// attempt sends the request to one host and follows its answer.
+// attempt sends the request to one host and relays its response.
 func (f *forwarding) attempt(ctx context.Context, m view.Member, req *peerv1.ExecuteRequest) outcome {
-	if f.maybe && req.Attempt == 1 {
+	if f.mayHaveRun && req.Attempt == 1 {
 		req.Attempt = 2
 	}
 	o := outcome{}
 	if m.Incarnation == f.router.self() {
 		err := f.router.engine.Execute(ctx, req, func(msg *peerv1.ExecuteResponse) error {
 			f.message(&o, msg)
-			return o.caller
+			return o.callerErr
 		})
-		if err != nil && o.caller == nil {
+		if err != nil && o.callerErr == nil {
 			o.lost, o.sent = err, true
 		}
 		return o
@@ -50,8 +50,8 @@
 	return o
 }
 
-// remote follows another host's answer. A host that does not take the request
-// on in good time is given up; it may have begun nevertheless.
+// remote relays another host's response. A host that does not accept the request
+// within acceptWait is abandoned; it may have started the request nevertheless.
 func (f *forwarding) remote(ctx context.Context, m view.Member, req *peerv1.ExecuteRequest, o *outcome) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,7 +67,7 @@
 	}
 	stream, err := client.Execute(ctx, req)
 	if err != nil {
-		o.lost, o.sent = err, sentAnyway(err)
+		o.lost, o.sent = err, maybeSent(err)
 		return
 	}
 	for !o.final() {
@@ -76,7 +76,7 @@
 			if errors.Is(err, io.EOF) {
 				err = errors.New("the host ended the answer without its end")
 			}
-			o.lost, o.sent = err, sentAnyway(err)
+			o.lost, o.sent = err, maybeSent(err)
 			return
 		}
 		late.Stop()
@@ -84,8 +84,8 @@
 	}
 }
 
-// leaves says whether streams are to be taken up again at another entry host.
-func (f *forwarding) leaves() bool {
+// isLeaving reports whether callers are to resume their streams at another entry host.
+func (f *forwarding) isLeaving() bool {
 	select {
 	case <-f.leaving:
 		return true
@@ -94,19 +94,19 @@
 	}
 }
 
-// sentAnyway says whether the host may have got the request. gRPC reports a
-// connection that could not be made as Unavailable before anything is sent, but
-// uses the same code for one that broke, so only the errors of making one are certain.
-func sentAnyway(err error) bool {
+// maybeSent reports whether the host may have received the request. gRPC returns
+// Unavailable both for a connection that could not be established, where nothing was
+// sent, and for one that broke, so only dial errors are certain.
+func maybeSent(err error) bool {
 	s, ok := status.FromError(err)
 	return !ok || s.Code() != codes.Unavailable || !isDialError(s.Message())
 }
 
 func (o *outcome) final() bool {
-	return o.done || o.none || o.moved || o.redirect != "" || o.refused != nil || o.caller != nil
+	return o.done || o.none || o.moved || o.redirect != "" || o.refused != nil || o.callerErr != nil
 }
 
-// message takes in one message of a host.
+// message processes one message from a host.
 func (f *forwarding) message(o *outcome, m *peerv1.ExecuteResponse) {
 	switch {
 	case m.RequestId != f.req.RequestId:
@@ -123,7 +123,7 @@
 	case m.Moved:
 		o.moved = true
 	default:
-		if o.caller = f.send(m); o.caller != nil {
+		if o.callerErr = f.send(m); o.callerErr != nil {
 			return
 		}
 		if m.End {
@@ -134,9 +134,10 @@
 	}
 }
 
-// notConnected are what gRPC says of a connection that was never made, all versions in use.
-var notConnected = []string{"error while dialing", "Error while dialing", "error reading server preface"}
+// dialErrors lists the texts of gRPC errors, in all versions in use, for a connection that was
+// never established.
+var dialErrors = []string{"error while dialing", "Error while dialing", "error reading server preface"}
 
 func isDialError(message string) bool {
-	return slices.ContainsFunc(notConnected, func(s string) bool { return strings.Contains(message, s) })
+	return slices.ContainsFunc(dialErrors, func(s string) bool { return strings.Contains(message, s) })
 }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves callers: it authenticates the organisation, finds the
-// host that answers for the request's id and passes the answer on.
+// Package entry serves callers: it authenticates the organisation, forwards the
+// request to the host that is responsible for its id and relays the response.
 package entry
 
 import (
@@ -23,10 +23,10 @@
 	maxClass = 64
 )
 
-// Forwarder gets a request run by the host that answers for it.
+// Forwarder forwards a request to the host that is responsible for it.
 type Forwarder interface {
-	// A stream whose run is on another host ends with errLeaving once leaving
-	// is closed; nil: never.
+	// Forward relays the response to send. A stream whose run is on another host ends
+	// with errLeaving once leaving is closed; a nil leaving never closes.
 	Forward(ctx context.Context, req *peerv1.ExecuteRequest, leaving <-chan struct{}, send func(*peerv1.ExecuteResponse) error) error
 }
 
@@ -35,15 +35,15 @@
 	cfg     settings.Requests
 	store   *store.Store
 	forward Forwarder
-	leaving <-chan struct{} // closed when open streams are to move elsewhere
+	leaving <-chan struct{} // closed when callers are to resume open streams at another host
 }
 
-// New makes the service.
+// New returns the service.
 func New(cfg settings.Requests, s *store.Store, f Forwarder, leaving <-chan struct{}) *Caller {
 	return &Caller{cfg: cfg, store: s, forward: f, leaving: leaving}
 }
 
-// Run streams an answer.
+// Run streams a response.
 func (c *Caller) Run(ctx context.Context, req *connect.Request[maststagev1.RunRequest], out *connect.ServerStream[maststagev1.RunResponse]) error {
 	order, err := c.order(req.Header().Get("Authorization"), req.Msg)
 	if err != nil {
@@ -71,7 +71,7 @@
 
 var errLeaving = errors.New("this host is leaving")
 
-// Call collects the whole answer.
+// Call returns the whole response at once.
 func (c *Caller) Call(ctx context.Context, req *connect.Request[maststagev1.CallRequest]) (*connect.Response[maststagev1.CallResponse], error) {
 	if req.Msg.Request == nil {
 		return nil, ToConnect(errkind.New(errkind.Invalid, "no request"))
@@ -106,7 +106,7 @@
 	return connect.NewResponse(res), nil
 }
 
-// order checks a request and turns it into what hosts send each other.
+// order validates a request and converts it to the message that hosts send each other.
 func (c *Caller) order(auth string, r *maststagev1.RunRequest) (*peerv1.ExecuteRequest, error) {
 	version, set := c.store.Config()
 	if version == 0 {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// ToConnect turns an error into the answer its kind has in the table, with a
-// Failure as detail and the header Retry-After.
+// ToConnect converts an error to the response that lib/errkind assigns to its kind,
+// with a Failure as detail and the header Retry-After.
 func ToConnect(err error) error {
 	if err == nil {
 		return nil
--- a/daemon/entry/forward.go
+++ b/daemon/entry/forward.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	maxHops     = 8                       // hosts tried for one request
-	acceptWait  = 1500 * time.Millisecond // for the first word of a host that may take a request on
-	againPause  = 50 * time.Millisecond
+	maxHops     = 8                       // attempts at hosts for one request
+	acceptWait  = 1500 * time.Millisecond // for the first message of a host that may accept a request
+	retryPause  = 50 * time.Millisecond
 	maxRedirect = 3
 )
 
 // Peers reaches other hosts.
 type Peers interface {
 	Client(addr string) (peerv1.PeerClient, error)
-	// Probe looks what there is of a host's process, within a second.
+	// Probe determines within a second whether a host's process is running.
 	Probe(ctx context.Context, addr string) peer.Presence
 }
 
-// Engine is this host's own.
+// Engine runs requests on this host.
 type Engine interface {
 	Execute(ctx context.Context, req *peerv1.ExecuteRequest, send run.Send) error
 }
 
-// Router finds the host that answers for a request and follows it when that
-// host dies, stops, or turns out to be another.
+// Router forwards a request to the host that is responsible for it, and moves on
+// when that host crashes, shuts down or redirects.
 type Router struct {
 	region string
 	self   func() string // incarnation
 	store  *store.Store
 	peers  Peers
 	engine Engine
-	silent func(inc string) bool // a member not heard of for long
+	silent func(inc string) bool // reports that a member has sent no heartbeat for long
 }
 
-// NewRouter makes a router for a host of a region.
+// NewRouter returns a router for a host in a region.
 func NewRouter(region string, self func() string, s *store.Store, p Peers, e Engine, silent func(string) bool) *Router {
 	return &Router{region: region, self: self, store: s, peers: p, engine: e, silent: silent}
 }
 
-// Forward gets req run and passes the answer on. The error says truly whether
-// the request may have been run.
+// Forward has req run and relays the response to send. The error is accurate about
+// whether the request may have been run.
 func (r *Router) Forward(ctx context.Context, req *peerv1.ExecuteRequest, leaving <-chan struct{}, send func(*peerv1.ExecuteResponse) error) error {
-	f := &forwarding{router: r, req: req, leaving: leaving, send: send, began: time.Now(), maybe: req.Attempt > 1 || req.ResumeFrom > 0, tried: map[string]bool{}, seen: map[string]peer.Presence{}, refusals: map[string]*errkind.Error{}}
-	// A copy: req changes as the answer goes on.
+	f := &forwarding{router: r, req: req, leaving: leaving, send: send, began: time.Now(), mayHaveRun: req.Attempt > 1 || req.ResumeFrom > 0, attempted: map[string]bool{}, probed: map[string]peer.Presence{}, refusals: map[string]*errkind.Error{}}
+	// A copy, as req changes while the response is relayed.
 	asked := &peerv1.ExecuteRequest{
 		Organisation: req.Organisation, Class: req.Class, Input: req.Input,
 		MaxTokens: req.MaxTokens, Attempt: req.Attempt, DeadlineMs: req.DeadlineMs,
@@ -64,25 +64,25 @@
 
 // forwarding is the state of one request at its entry host.
 type forwarding struct {
-	router   *Router
-	req      *peerv1.ExecuteRequest
-	leaving  <-chan struct{}
-	send     func(*peerv1.ExecuteResponse) error
-	began    time.Time
-	class    func() class
-	maybe    bool // an earlier attempt may have run it
-	tried    map[string]bool
-	seen     map[string]peer.Presence // of hosts that were lost, by incarnation
-	next     string                   // incarnation to go to, by redirect
-	turns    int                      // redirects followed
-	last     *errkind.Error
-	refusals map[string]*errkind.Error // answers "not run", by incarnation
+	router     *Router
+	req        *peerv1.ExecuteRequest
+	leaving    <-chan struct{}
+	send       func(*peerv1.ExecuteResponse) error
+	began      time.Time
+	class      func() class
+	mayHaveRun bool // an earlier attempt may have run it
+	attempted  map[string]bool
+	probed     map[string]peer.Presence // last probe results of lost hosts, by incarnation
+	next       string                   // incarnation to attempt next, from a redirect
+	redirects  int                      // redirects followed
+	last       *errkind.Error
+	refusals   map[string]*errkind.Error // failures that mean "not run", by incarnation
 }
 
-// run joins the run that an earlier attempt may have begun; if there is none the request is
-// placed at one of its replicas.
+// run joins the run that an earlier attempt may have started; if there is none, one of the
+// replicas runs the request.
 func (f *forwarding) run(ctx context.Context) error {
-	if f.maybe && f.class().stream {
+	if f.mayHaveRun && f.class().stream {
 		if ended, err := f.join(ctx); ended {
 			return err
 		}
@@ -90,12 +90,12 @@
 	return f.place(ctx)
 }
 
-// place has one of the replicas run the request, or join the run it has.
+// place forwards the request to one of the replicas, which runs it or has a run already.
 func (f *forwarding) place(ctx context.Context) error {
 	for hops := 0; hops < maxHops; hops++ {
-		m, ok := f.pick()
+		m, ok := f.nextHost()
 		if !ok {
-			if !f.startsOver(ctx) {
+			if !f.retriesAll(ctx) {
 				break
 			}
 			hops = 0
@@ -111,19 +111,19 @@
 				return err
 			}
 		case o.moved:
-			f.tried = map[string]bool{m.Incarnation: true}
-			wait.For(ctx, againPause)
+			f.attempted = map[string]bool{m.Incarnation: true}
+			wait.For(ctx, retryPause)
 		case o.refused != nil:
 			f.last = o.refused
 			f.refusals[m.Incarnation] = o.refused
-			f.tried[m.Incarnation] = true
+			f.attempted[m.Incarnation] = true
 		default:
-			f.maybe = f.maybe || o.sent
+			f.mayHaveRun = f.mayHaveRun || o.sent
 			if f.waitsFor(ctx, m, o) {
-				hops-- // the same host again
+				hops-- // retry at the same host
 				continue
 			}
-			f.tried[m.Incarnation] = true
+			f.attempted[m.Incarnation] = true
 			f.last = errkind.New(errkind.Unavailable, "host %s: %w", m.Host, o.lost)
 		}
 	}
@@ -133,54 +133,54 @@
 	return f.truthful(f.last)
 }
 
-// ended says whether an attempt settles the request, with the error for the caller.
+// ended reports whether an attempt concludes the request, and the error for the caller.
 func (f *forwarding) ended(ctx context.Context, o *outcome) (bool, error) {
 	switch {
 	case o.done:
 		return true, nil
-	case o.caller != nil:
-		return true, o.caller
+	case o.callerErr != nil:
+		return true, o.callerErr
 	case ctx.Err() != nil:
 		return true, ctx.Err()
-	case f.leaves() && o.lost != nil:
+	case f.isLeaving() && o.lost != nil:
 		return true, errLeaving
-	case o.refused != nil && !passOver(o.refused.Kind):
+	case o.refused != nil && !retryElsewhere(o.refused.Kind):
 		return true, f.truthful(o.refused)
 	}
 	return false, nil
 }
 
-// passOver says whether another host may take a request that one refused so.
-func passOver(k errkind.Kind) bool {
+// retryElsewhere reports whether another host may accept a request that was refused with this kind.
+func retryElsewhere(k errkind.Kind) bool {
 	return k == errkind.Draining || k == errkind.Unavailable
 }
 
-// truthful never says "not run" of a request that may have been run.
+// truthful replaces an error that means "not run" by Unknown if the request may have been run.
 func (f *forwarding) truthful(e *errkind.Error) error {
-	if f.maybe && errkind.Lookup(e.Kind).Ran == errkind.RanNo && e.Kind != errkind.Invalid {
+	if f.mayHaveRun && errkind.Lookup(e.Kind).Ran == errkind.RanNo && e.Kind != errkind.Invalid {
 		return errkind.New(errkind.Unknown, "an earlier attempt may have run it: %w", e).Retry(e.RetryAfter())
 	}
 	return e
 }
 
-// redirected notes the host that has the run.
+// redirected records the host that has the run as the next one to attempt.
 func (f *forwarding) redirected(inc string) error {
 	if e := f.refusals[inc]; e != nil {
-		return f.truthful(e) // its claim is on the way out, it has not run it
+		return f.truthful(e) // it has not run the request, and its claim is being released
 	}
-	f.turns++
+	f.redirects++
 	m, live := f.router.store.Member(inc)
-	if !live || f.turns > maxRedirect || f.tried[inc] {
+	if !live || f.redirects > maxRedirect || f.attempted[inc] {
 		return errkind.New(errkind.Unknown, "taken on by %s, which can't be reached", inc)
 	}
 	f.next = m.Incarnation
-	f.maybe = true
+	f.mayHaveRun = true
 	return nil
 }
 
-// pick gives the next host to try: the one redirected to, or the first replica
-// that was not tried, those in doubt last.
-func (f *forwarding) pick() (view.Member, bool) {
+// nextHost returns the next host to attempt: the one redirected to, or the first replica
+// not yet attempted, silent ones last.
+func (f *forwarding) nextHost() (view.Member, bool) {
 	if f.next != "" {
 		m, ok := f.router.store.Member(f.next)
 		f.next = ""
@@ -190,7 +190,7 @@
 	members, _, _ := f.router.store.Replicas(id, f.router.region)
 	var doubtful *view.Member
 	for i, m := range members {
-		if f.tried[m.Incarnation] {
+		if f.attempted[m.Incarnation] {
 			continue
 		}
 		if f.router.silent(m.Incarnation) {
--- a/daemon/entry/join.go
+++ b/daemon/entry/join.go
@@ -10,8 +10,8 @@
 	"maststage.dev/fold/view"
 )
 
-// join looks for the run that an earlier attempt may have begun and follows it. It ends without one
-// when every host that may have it says that it has none, or is known to have ended.
+// join looks for the run that an earlier attempt may have started and relays its response. ended is
+// false if no host that may have the run has it: each denied it or was given up by waitsFor.
 func (f *forwarding) join(ctx context.Context) (ended bool, err error) {
 	for _, m := range f.holders() {
 		if ended, err := f.joinAt(ctx, m); ended {
@@ -21,10 +21,10 @@
 	return false, nil
 }
 
-// joinAt asks one host for the run until it answers or is given up.
+// joinAt asks one host for the run until it answers or is given up by waitsFor.
 func (f *forwarding) joinAt(ctx context.Context, m view.Member) (ended bool, err error) {
 	for {
-		o := f.attempt(ctx, m, f.joining())
+		o := f.attempt(ctx, m, f.joinRequest())
 		if ended, err := f.ended(ctx, &o); ended {
 			return true, err
 		}
@@ -34,15 +34,15 @@
 	}
 }
 
-// joining is the request as one that begins nothing.
-func (f *forwarding) joining() *peerv1.ExecuteRequest {
+// joinRequest returns a copy of the request that may only join a run.
+func (f *forwarding) joinRequest() *peerv1.ExecuteRequest {
 	req := proto.CloneOf(f.req)
 	req.JoinOnly = true
 	return req
 }
 
-// holders are the hosts that may have a run of the request: its replicas, and those of the views
-// of the last minute, since a run stays where it began when the view changes.
+// holders returns the hosts that may have a run of the request: its replicas now and those in the
+// views of the last minute, since a run stays where it started when the view changes.
 func (f *forwarding) holders() []view.Member {
 	id := run.Key(f.req.Organisation, f.req.RequestId)
 	now, _, _ := f.router.store.Replicas(id, f.router.region)
--- a/daemon/entry/silence.go
+++ b/daemon/entry/silence.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// waitShare is the part of a request's time, from its arrival, in which hosts that say
-	// nothing are waited for; the rest is left for a run at another host.
+	// waitShare is the part of a request's time, from its arrival, in which silent hosts are
+	// waited for; the rest is left for a run at another host.
 	waitShare = 2.0 / 3
-	// unreachableWait is how long a member is waited for to which no connection can be made.
-	// One that died has been evicted by then: 1.5 s of silence, a round of heartbeats, an append
-	// to the log. In the minority of a cut nobody is evicted.
+	// unreachableWait is how long to wait for an unreachable member. A crashed one has been
+	// evicted by then: 1.5 s of silence, a round of heartbeats, an append to the log. The
+	// minority side of a partition evicts nobody.
 	unreachableWait = 6 * time.Second
-	// watchPause is the time between two looks at a host that is no member any more.
-	watchPause = 500 * time.Millisecond
-	overPause  = 250 * time.Millisecond // before all replicas are asked once more
+	// watchPause is the time between two probes of a host that is no longer a member.
+	watchPause    = 500 * time.Millisecond
+	retryAllPause = 250 * time.Millisecond // before all replicas are attempted again
 )
 
 // class is what the policy of a request's class allows.
 type class struct {
 	repeats bool // the request may be repeated
-	stream  bool // and is a stream of an engine, of which a second run costs tokens
-	// until is when hosts that say nothing are waited for no longer.
+	stream  bool // it may, and is an engine's stream, whose second run costs tokens
+	// until is when waiting for silent hosts ends.
 	until time.Time
 }
 
-// classify finds the class of a request that came then. Requests without a policy are refused by whoever is asked.
+// classify returns the class of a request that arrived at began. It is empty for requests without a
+// policy, which any host refuses.
 func (r *Router) classify(req *peerv1.ExecuteRequest, began time.Time) class {
 	_, set := r.store.Config()
 	if set == nil {
@@ -53,30 +54,30 @@
 	}
 }
 
-// waitsFor says whether a host that was lost is asked again, after a pause, as a stream may run
-// there: its process lives, or may live as far as anybody knows. One that stands still and was
-// evicted is waited for only if more than an order that it did not confirm speaks for a run there.
+// waitsFor reports, after a pause, whether a lost host is to be asked again because it may run a
+// stream: its process is alive, or not known to have exited. A stalled host that was evicted is
+// waited for only if there is more evidence of a run than an unconfirmed order.
 func (f *forwarding) waitsFor(ctx context.Context, m view.Member, o outcome) bool {
-	if !f.maybe || !f.class().stream {
+	if !f.mayHaveRun || !f.class().stream {
 		f.logLost(m, o, "not probed")
 		return false
 	}
 	presence := f.router.peers.Probe(ctx, m.Address)
-	if before, known := f.seen[m.Incarnation]; !known || before != presence {
+	if before, known := f.probed[m.Incarnation]; !known || before != presence {
 		f.logLost(m, o, presence.String())
 	}
-	f.seen[m.Incarnation] = presence
+	f.probed[m.Incarnation] = presence
 	_, member := f.router.store.Member(m.Incarnation)
 	known := o.accepted || f.req.Attempt > 1 || f.req.ResumeFrom > 0
 	if !f.mayRunAt(presence, member, known) {
 		return false
 	}
-	wait.For(ctx, againPause)
+	wait.For(ctx, retryPause)
 	return ctx.Err() == nil
 }
 
-// mayRunAt says whether a run may be at a host, whose process was seen so, and is worth waiting
-// for; known says that something speaks for that run.
+// mayRunAt reports whether a host with this probe result may have a run that is worth waiting for;
+// known means that there is evidence of that run.
 func (f *forwarding) mayRunAt(presence peer.Presence, member, known bool) bool {
 	switch presence {
 	case peer.Answers, peer.Stalled:
@@ -87,23 +88,23 @@
 	return false
 }
 
-// startsOver lets all replicas be asked again if none of them refused a request that may be
-// repeated, as long as there is time.
-func (f *forwarding) startsOver(ctx context.Context) bool {
+// retriesAll reports, after a pause, whether all replicas are to be attempted again: none of them
+// refused the request, it may be repeated, and there is time left.
+func (f *forwarding) retriesAll(ctx context.Context) bool {
 	if f.last == nil || len(f.refusals) > 0 {
 		return false
 	}
 	if c := f.class(); !c.repeats || time.Now().After(c.until) {
 		return false
 	}
-	clear(f.tried)
-	wait.For(ctx, overPause)
+	clear(f.attempted)
+	wait.For(ctx, retryAllPause)
 	return ctx.Err() == nil
 }
 
-// watch cancels a call once this host leaves, and one for a stream once the other host is no
-// member any more and can't have the run, unless the call is done before. A host that was evicted
-// while it lives goes on with what it began.
+// watch cancels a call when this host leaves, and a call for a stream also when the other host is
+// no longer a member and cannot have the run. It returns when the call is done. A host that was
+// evicted while alive continues the runs it started.
 func (f *forwarding) watch(ctx context.Context, m view.Member, done <-chan struct{}, cancel context.CancelFunc) {
 	for {
 		changed := f.router.store.Changed()
@@ -127,13 +128,13 @@
 	}
 }
 
-// logLost says which host was lost, after how long, and what was known of a run there.
+// logLost logs which host was lost, after how long, and what is known of a run there.
 func (f *forwarding) logLost(m view.Member, o outcome, presence string) {
 	_, member := f.router.store.Member(m.Incarnation)
 	log.WithFields(log.Fields{
 		"request": f.req.RequestId, "organisation": f.req.Organisation, "class": f.req.Class,
 		"incarnation": m.Incarnation, "member": member, "silent": f.router.silent(m.Incarnation), "process": presence,
-		"attempt": f.req.Attempt, "from": f.req.ResumeFrom, "maybe": f.maybe, "sent": o.sent, "accepted": o.accepted,
+		"attempt": f.req.Attempt, "from": f.req.ResumeFrom, "maybe": f.mayHaveRun, "sent": o.sent, "accepted": o.accepted,
 		"after": time.Since(f.began).Round(time.Millisecond),
 	}).WithError(o.lost).Info("host lost")
 }
--- a/daemon/entry/silence_test.go
+++ b/daemon/entry/silence_test.go
@@ -9,9 +9,10 @@
 	"maststage.dev/daemon/peer"
 )
 
-// Only a process that is known to have ended, or that nobody counts as a member and nothing speaks
-// for, is taken to have no run: a host that says nothing was, and its stream ran a second time.
-func TestWhichLostHostsMayHaveARun(t *testing.T) {
+// A silent host was assumed to have no run, and its stream ran a second time. A host is now ruled
+// out only if its process is known to have exited, it is evicted and either unreachable or without
+// evidence of a run, or the time to wait for it is over.
+func TestSilentHostMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	begun := func(ago time.Duration) *forwarding {
 		began := time.Now().Add(-ago)
@@ -24,10 +25,10 @@
 		want          bool
 	}{
 		{time.Second, peer.Stalled, true, false, true},
-		{time.Second, peer.Stalled, false, true, true}, // evicted, and it has a run
+		{time.Second, peer.Stalled, false, true, true}, // evicted, and known to have a run
 		{time.Second, peer.Stalled, false, false, false},
 		{time.Second, peer.Answers, false, true, true},
-		{11 * time.Second, peer.Stalled, true, true, false}, // the rest is for a run elsewhere
+		{11 * time.Second, peer.Stalled, true, true, false}, // the remaining time is for a run elsewhere
 		{time.Second, peer.Gone, true, true, false},
 		{time.Second, peer.Unreachable, true, true, true},
 		{time.Second, peer.Unreachable, false, true, false},
