--- a/daemon/bill/bill.go
+++ b/daemon/bill/bill.go
@@ -1,6 +1,6 @@
-// Package bill keeps bills from being lost: the end of an answer is released
-// only after its bill is in the log or held by hosts of two other failure
-// domains, which log it if its writer does not.
+// Package bill protects bills from loss: the end of a response is sent only after
+// its bill is in the log or held by hosts in two other failure domains, which log
+// it if its writer does not.
 package bill
 
 import (
@@ -14,7 +14,7 @@
 	"maststage.dev/lib/guard"
 )
 
-// logLate is when a holder logs a bill that its writer has not logged.
+// logLate is the age at which a holder logs a bill that its writer has not logged.
 const logLate = 2 * time.Second
 
 // Outbox queues records for the log.
@@ -22,12 +22,12 @@
 	Put(...*peerv1.Record) error
 }
 
-// Peers asks other hosts to hold a bill; it returns once enough do.
+// Peers asks other hosts to hold a bill; Hold returns once enough of them do.
 type Peers interface {
 	Hold(ctx context.Context, b *peerv1.Bill) error
 }
 
-// Keeper writes own bills and holds those of others.
+// Keeper logs this host's bills and holds those of other hosts.
 type Keeper struct {
 	out   Outbox
 	peers Peers
@@ -42,13 +42,14 @@
 	at   time.Time
 }
 
-// NewKeeper makes an empty keeper.
+// NewKeeper returns an empty keeper.
 func NewKeeper(out Outbox, peers Peers) *Keeper {
 	return &Keeper{out: out, peers: peers, held: map[string]heldBill{}, waiting: map[string]chan struct{}{}}
 }
 
-// Keep queues a bill for the log and returns when it can't be lost with this
-// host any more. The error is of kind Unknown if that took longer than wait.
+// Keep queues a bill for the log and returns once the bill would survive the loss
+// of this host. The error is of kind Unknown if that took longer than wait, or
+// Overloaded if the outbox is full.
 func (k *Keeper) Keep(ctx context.Context, b *peerv1.Bill, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -71,7 +72,7 @@
 			if err == nil {
 				return nil
 			}
-			held = nil // nobody in reach holds it: wait for the log
+			held = nil // not enough reachable hosts hold it: wait for the log
 		case <-ctx.Done():
 			return errkind.New(errkind.Unknown, "the bill could be kept neither in the log nor on another host")
 		}
@@ -84,7 +85,7 @@
 	delete(k.waiting, id)
 }
 
-// Hold keeps the bill of another host until it is in the log.
+// Hold holds the bill of another host until it is in the log.
 func (k *Keeper) Hold(b *peerv1.Bill) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// Event hears which bills are in the log.
+// Event handles bills read back from the log.
 func (k *Keeper) Event(e fold.Event) {
 	b, ok := e.(fold.Billed)
 	if !ok {
@@ -108,7 +109,7 @@
 	}
 }
 
-// Tick logs held bills that are late; all of them if stopping.
+// Tick logs held bills older than logLate, or all of them during shutdown.
 func (k *Keeper) Tick(now time.Time, stopping bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -123,7 +124,7 @@
 	}
 }
 
-// Held is how many bills of other hosts are held.
+// Held returns the number of bills held for other hosts.
 func (k *Keeper) Held() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
