--- a/daemon/logio/tailer.go
+++ b/daemon/logio/tailer.go
@@ -21,12 +21,12 @@
 const (
 	readMax     = 500
 	readWait    = 500 * time.Millisecond
-	relayKeep   = 4096 // entries kept for peers
+	relayKeep   = 4096 // entries kept for other hosts
 	retryRead   = 100 * time.Millisecond
 	logUpWithin = 2 * time.Second
 )
 
-// ErrBehind says that the log no longer has what this host needs next.
+// ErrBehind means that the log no longer retains the next entry this host needs.
 var ErrBehind = errors.New("the log's retention has passed this host's offset")
 
 var errNothingNew = errors.New("the peer is no further than this host")
@@ -36,39 +36,39 @@
 	Read(ctx context.Context, from uint64, max uint32, wait time.Duration) (*platformv1.ReadResponse, error)
 }
 
-// Relay reads the log and the state from other hosts.
+// Relay reads log entries and the folded state from other hosts.
 type Relay interface {
 	Tail(ctx context.Context, from uint64) ([]*peerv1.TailEntry, error)
 	State(ctx context.Context) ([]byte, error)
 }
 
-// Tailer follows the log into the store: straight from the platform, or from
-// another host while the platform can't be reached.
+// Tailer applies the log to the store as it grows. It reads from the platform, or
+// from another host while the platform is unreachable.
 type Tailer struct {
 	reader Reader
 	relay  Relay
 	store  *store.Store
 
-	mu     sync.Mutex
-	recent []*peerv1.TailEntry
-	lastUp time.Time
-	caught bool // the end of the log was reached once
-	level  chan struct{}
+	mu         sync.Mutex
+	recent     []*peerv1.TailEntry
+	lastRead   time.Time
+	caughtUp   bool // the end of the log, or a peer's state, has been reached once
+	caughtUpCh chan struct{}
 }
 
-// NewTailer makes a tailer; Run starts it.
+// NewTailer returns a tailer; Run starts it.
 func NewTailer(r Reader, relay Relay, s *store.Store) *Tailer {
-	return &Tailer{reader: r, relay: relay, store: s, level: make(chan struct{})}
+	return &Tailer{reader: r, relay: relay, store: s, caughtUpCh: make(chan struct{})}
 }
 
-// Up says whether the log was read within the last two seconds.
+// Up reports whether the log was read within logUpWithin.
 func (t *Tailer) Up() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Since(t.lastUp) < logUpWithin
+	return time.Since(t.lastRead) < logUpWithin
 }
 
-// Recent serves entries from an offset on to a peer, with the oldest kept.
+// Recent returns at most max kept entries from an offset on, and the oldest offset kept.
 func (t *Tailer) Recent(from uint64, max int) (entries []*peerv1.TailEntry, oldest uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,8 +86,8 @@
 	return t.recent[i:min(i+max, len(t.recent))], oldest
 }
 
-// Bootstrap brings the store up to the log or to the furthest peer. It returns
-// when the state is as late as either can give.
+// Bootstrap initialises the store from a peer's state or from the log, and retries
+// until one of them succeeds or ctx ends.
 func (t *Tailer) Bootstrap(ctx context.Context) error {
 	for {
 		if t.fromPeer(ctx) == nil || t.fromLog(ctx) == nil {
@@ -113,12 +113,12 @@
 		return errNothingNew
 	}
 	t.forgetRecent()
-	t.reached()
+	t.markCaughtUp()
 	return nil
 }
 
-// fromLog finds the last snapshot in the log and takes it over. Without one the
-// log must still reach back to its beginning.
+// fromLog loads the last usable snapshot in the log. Without one, the log must
+// still have its first entry.
 func (t *Tailer) fromLog(ctx context.Context) error {
 	var snap *fold.State
 	first, err := t.reader.Read(ctx, 1, 1, 0)
@@ -151,19 +151,19 @@
 	return nil
 }
 
-// Level is closed once the store has been as far as the log or a peer.
-func (t *Tailer) Level() <-chan struct{} { return t.level }
+// CaughtUp returns a channel that is closed once the store has caught up with the log or a peer.
+func (t *Tailer) CaughtUp() <-chan struct{} { return t.caughtUpCh }
 
-func (t *Tailer) reached() {
+func (t *Tailer) markCaughtUp() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.caught {
-		t.caught = true
-		close(t.level)
+	if !t.caughtUp {
+		t.caughtUp = true
+		close(t.caughtUpCh)
 	}
 }
 
-// forgetRecent drops entries that no longer join up with the state.
+// forgetRecent drops the kept entries, which are no longer contiguous with the state.
 func (t *Tailer) forgetRecent() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// Run follows the log until ctx ends or the log has left this host behind.
+// Run follows the log until ctx ends, or fails with ErrBehind.
 func (t *Tailer) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		offset, _ := t.store.Offset()
@@ -198,7 +198,7 @@
 		if err == nil {
 			continue
 		}
-		log.WithError(err).Debug("can't read the log, asking a peer")
+		log.WithError(err).Debug("cannot read the log from the platform; trying a peer")
 		if t.fromRelay(ctx, offset+1) {
 			continue
 		}
@@ -216,13 +216,13 @@
 		return fmt.Errorf("oldest kept is %d, next needed %d: %w", r.Oldest, from, ErrBehind)
 	}
 	t.mu.Lock()
-	t.lastUp = time.Now()
+	t.lastRead = time.Now()
 	t.mu.Unlock()
 	for _, e := range r.Entries {
-		t.take(e.Offset, e.Data)
+		t.applyNext(e.Offset, e.Data)
 	}
 	if have, _ := t.store.Offset(); have+1 >= r.Next {
-		t.reached()
+		t.markCaughtUp()
 	}
 	return nil
 }
@@ -233,13 +233,13 @@
 		return false
 	}
 	for _, e := range entries {
-		t.take(e.Offset, e.Data)
+		t.applyNext(e.Offset, e.Data)
 	}
 	return true
 }
 
-// take applies one entry if it is the next one.
-func (t *Tailer) take(offset uint64, data []byte) {
+// applyNext applies and keeps an entry if it is the next one.
+func (t *Tailer) applyNext(offset uint64, data []byte) {
 	if have, _ := t.store.Offset(); offset != have+1 {
 		return
 	}
--- a/daemon/logio/writer.go
+++ b/daemon/logio/writer.go
@@ -20,17 +20,17 @@
 const (
 	maxBatchRecords = 2000
 	maxBatchBytes   = 512 << 10
-	resendAfter     = 1500 * time.Millisecond // a batch not seen in the log by then is sent again
+	resendAfter     = 1500 * time.Millisecond // a batch not read back from the log by then is sent again
 )
 
-// Appender appends to the log; an error says nothing of whether it did.
+// Appender appends to the log. After an error the data may have been appended or not.
 type Appender interface {
 	Append(ctx context.Context, data []byte) error
 }
 
 // Writer appends the records of one incarnation in order, one batch at a time.
-// A batch counts as logged only when it is read back: replies may be lost. It is
-// sent again under the same number until then, the fold drops what comes twice.
+// A batch counts as logged only once it is read back, as replies may be lost. Until
+// then it is sent again under the same sequence number; the fold drops duplicates.
 type Writer struct {
 	inc      string
 	app      Appender
@@ -40,17 +40,17 @@
 
 	mu      sync.Mutex
 	pending []*peerv1.Record
-	sent    int // of pending, in the batch under way
+	sent    int // number of pending records in the batch in flight
 	seq     uint64
-	since   time.Time // when the batch under way was first sent
+	since   time.Time // when the batch in flight was first sent
 
 	wake   chan struct{}
 	logged chan uint64
 	done   chan struct{}
 }
 
-// NewWriter makes a writer; Run starts it. interval is the least time between
-// two appends, limit how many records may wait.
+// NewWriter returns a writer; Run starts it. interval is the minimum time between
+// two appends, limit the maximum number of queued records.
 func NewWriter(inc string, app Appender, interval, timeout time.Duration, limit int) *Writer {
 	return &Writer{
 		inc: inc, app: app, interval: interval, timeout: timeout, limit: limit,
@@ -60,7 +60,7 @@
 	}
 }
 
-// Put queues records. It fails if too many wait already; nothing is queued then.
+// Put queues records. If the queue would exceed its limit, it fails and queues none of them.
 func (w *Writer) Put(records ...*peerv1.Record) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,21 +75,21 @@
 	return nil
 }
 
-// Unlogged copies the records that are not known to be in the log.
+// Unlogged returns a copy of the records not known to be in the log.
 func (w *Writer) Unlogged() []*peerv1.Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.pending)
 }
 
-// Waiting is how many records are not known to be in the log.
+// Waiting returns the number of records not known to be in the log.
 func (w *Writer) Waiting() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.pending)
 }
 
-// Stuck is for how long the batch under way has not been seen in the log.
+// Stuck returns how long the batch in flight has not been read back from the log.
 func (w *Writer) Stuck() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,7 +99,7 @@
 	return time.Since(w.since)
 }
 
-// Event hears from the fold which batches are in the log.
+// Event handles batches read back from the log.
 func (w *Writer) Event(e fold.Event) {
 	a, ok := e.(fold.Applied)
 	if !ok || a.Incarnation != w.inc {
@@ -107,11 +107,11 @@
 	}
 	select {
 	case w.logged <- a.Seq:
-	default: // the run loop looks again when it sends the batch once more
+	default: // only one batch is in flight, so the channel has room
 	}
 }
 
-// Run appends until ctx ends.
+// Run appends queued records until ctx ends or a batch cannot be encoded.
 func (w *Writer) Run(ctx context.Context) {
 	defer close(w.done)
 	for {
@@ -121,22 +121,22 @@
 		case <-w.wake:
 		}
 		for w.Waiting() > 0 {
-			if !w.step(ctx) {
+			if !w.writeBatch(ctx) {
 				return
 			}
 		}
 	}
 }
 
-// step gets one batch into the log.
-func (w *Writer) step(ctx context.Context) bool {
+// writeBatch writes one batch to the log. It returns false if Run must end.
+func (w *Writer) writeBatch(ctx context.Context) bool {
 	start := time.Now()
-	data, seq, err := w.next()
+	data, seq, err := w.nextBatch()
 	if err != nil {
-		log.WithError(err).Error("can't encode a batch")
+		log.WithError(err).Error("cannot encode a batch of log records")
 		return false
 	}
-	for !w.try(ctx, data, seq) {
+	for !w.appendOnce(ctx, data, seq) {
 		if ctx.Err() != nil {
 			return false
 		}
@@ -146,8 +146,8 @@
 	return ctx.Err() == nil
 }
 
-// next builds the batch to send.
-func (w *Writer) next() (data []byte, seq uint64, err error) {
+// nextBatch builds the nextBatch batch.
+func (w *Writer) nextBatch() (data []byte, seq uint64, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n, size := 0, 0
@@ -163,8 +163,8 @@
 	return data, w.seq, err
 }
 
-// try appends the batch once and waits until it is seen in the log.
-func (w *Writer) try(ctx context.Context, data []byte, seq uint64) bool {
+// appendOnce appends the batch once and reports whether it is then read back from the log.
+func (w *Writer) appendOnce(ctx context.Context, data []byte, seq uint64) bool {
 	appended := make(chan error, 1)
 	guard.Go("log append", func() {
 		c, cancel := context.WithTimeout(ctx, w.timeout)
@@ -183,7 +183,7 @@
 			}
 		case err := <-appended:
 			if err != nil {
-				log.WithError(err).WithField("seq", seq).Debug("append failed or its reply was lost")
+				log.WithError(err).WithField("seq", seq).Debug("log append failed or its reply was lost")
 				again.Reset(w.interval * 2)
 			}
 			appended = nil
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -111,7 +111,7 @@
 	}
 	guard.Go("log tailer", func() { n.followLog(ctx) })
 	select {
-	case <-n.tailer.Level():
+	case <-n.tailer.CaughtUp():
 	case <-ctx.Done():
 		return ctx.Err()
 	}
