--- a/daemon/logio/writer.go
+++ b/daemon/logio/writer.go
@@ -146,7 +146,7 @@
 	return ctx.Err() == nil
 }
 
-// nextBatch builds the nextBatch batch.
+// nextBatch builds the next batch.
 func (w *Writer) nextBatch() (data []byte, seq uint64, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/daemon/run/job.go
+++ b/daemon/run/job.go
@@ -128,7 +128,7 @@
 	return uint64(len(input)+bytesPerToken-1) / bytesPerToken
 }
 
-// extendReservation extends the reservation to extendReservation another attempt.
+// extendReservation grows the reservation to cover another attempt.
 func (j *job) extendReservation(ctx context.Context) error {
 	need := j.used + j.worstCase()
 	if need <= j.res.Tokens() {
--- a/daemon/run/run.go
+++ b/daemon/run/run.go
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// earlierRun looks for an earlierRun run of a request that must not be repeated and is not
+// earlierRun looks for an earlier run of a request that must not be repeated and is not
 // in the table of runs. It returns the incarnation that has it, or an error if the
 // request cannot be run again; neither if it may run here.
 func (e *Engine) earlierRun(self *Identity, id string) (redirect string, err *errkind.Error) {
