--- a/proofs/soak/account_test.go
+++ b/proofs/soak/account_test.go
@@ -24,7 +24,7 @@
 func TestAccountBalances(t *testing.T) {
 	w := newWorld(t, accountHosts, 7)
 	w.traffics(1, 2*time.Second)
-	heal := w.hosts[2].store.Strike(faultlink.Fault{DropUp: true})
+	heal := w.hosts[2].store.Inject(faultlink.Fault{DropUp: true})
 	w.log.SetFault(w.hosts[3].name, memlog.Fault{Lose: true}) // what it appends is done, and it is not told
 	w.traffics(2, 2*time.Second)
 	heal()
--- a/proofs/soak/faults_test.go
+++ b/proofs/soak/faults_test.go
@@ -54,7 +54,7 @@
 	"target breaks":   targetFault(func(b *backend.Behaviour) { b.BreakAfter, b.Reset = 3, true }),
 	"target inside":   targetFault(func(b *backend.Behaviour) { b.BreakAfter, b.BreakInside, b.Reset = 2, true, true }),
 	"target refuses":  targetFault(func(b *backend.Behaviour) { b.Refuse = true }),
-	"target mute":     targetFault(func(b *backend.Behaviour) { b.Mute = true }),
+	"target mute":     targetFault(func(b *backend.Behaviour) { b.NoResponse = true }),
 	"target errors":   targetFault(func(b *backend.Behaviour) { b.Status, b.Events, b.Body = 500, 0, "failure" }),
 	"target crosses":  targetFault(func(b *backend.Behaviour) { b.CrossedFirst = true }),
 	"target extra":    targetFault(func(b *backend.Behaviour) { b.Extra = true }),
@@ -121,11 +121,11 @@
 func hush(w *world, e event) {
 	defer w.watch.fault(e.kind)()
 	for _, i := range some(len(w.hosts), e) {
-		w.hosts[i].store.Hush()
+		w.hosts[i].store.Silence()
 		defer w.watch.excuse(w.hosts[i])()
 	}
 	for _, s := range struck(w, e) {
-		s.way.Hush()
+		s.way.Silence()
 	}
 	time.Sleep(e.length)
 }
@@ -286,7 +286,7 @@
 	return func(w *world, e event) {
 		defer w.watch.fault(e.kind)()
 		for _, i := range some(len(w.hosts), e) {
-			defer w.hosts[i].store.Strike(f)()
+			defer w.hosts[i].store.Inject(f)()
 			defer w.watch.excuse(w.hosts[i])()
 		}
 		time.Sleep(e.length)
@@ -310,7 +310,7 @@
 	return func(w *world, e event) {
 		defer w.watch.fault(e.kind)()
 		for _, s := range struck(w, e) {
-			defer s.way.Strike(f)()
+			defer s.way.Inject(f)()
 		}
 		time.Sleep(e.length)
 	}
--- a/proofs/soak/world_test.go
+++ b/proofs/soak/world_test.go
@@ -182,7 +182,7 @@
 func (w *world) thinLinks() {
 	w.thin = true
 	for _, h := range w.hosts {
-		h.store.Strike(faultlink.Fault{PerSecond: thinRate})
+		h.store.Inject(faultlink.Fault{PerSecond: thinRate})
 	}
 }
 
--- a/router/fleet/silent_test.go
+++ b/router/fleet/silent_test.go
@@ -28,14 +28,14 @@
 	link := faultlink.Open(t, faultlink.Options{Listen: "127.0.0.1:0", To: server.Listener.Addr().String()})
 	borrower := New(Options{Self: Host{Name: "borrower"}, CallTimeout: time.Second, Seeds: []string{link.Address()}})
 	borrow := func() int64 { return borrower.Borrow(context.Background(), "org", 10, 0).Tokens }
-	slow := link.Strike(faultlink.Fault{Delay: 10 * time.Millisecond}) // so that calls overlap
+	slow := link.Inject(faultlink.Fault{Delay: 10 * time.Millisecond}) // so that calls overlap
 	var all sync.WaitGroup
 	for range 4 {
 		all.Go(func() { borrow() })
 	}
 	all.Wait()
 	slow()
-	link.Hush()
+	link.Silence()
 	is.Equal(borrow(), int64(0)) // on a silent connection
 	is.Equal(borrow(), int64(10))
 }
--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -116,7 +116,7 @@
 	f := newFixture(t)
 	f.creditBudget()
 	f.teachPace()
-	f.add("e1", "engine", backend.Behaviour{Mute: true})
+	f.add("e1", "engine", backend.Behaviour{NoResponse: true})
 	req := f.ask("/once/x")
 	req.Header.Set("X-Deadline", "1500")
 	f.do(req)
@@ -131,7 +131,7 @@
 	f.teachPace()
 	behave := breakOnce(paced(backend.Behaviour{Events: 8, BreakAfter: 3, Reset: true}), paced(backend.Behaviour{Events: 8}))
 	for _, id := range []string{"e1", "e2"} {
-		f.add(id, "engine", backend.Behaviour{}).Behave(behave)
+		f.add(id, "engine", backend.Behaviour{}).SetBehaviour(behave)
 	}
 	f.is.Equal(f.do(f.ask("/stream/x")).body, events("r1", 8))
 	f.checkCharge(f.recorder.waitOutcome(t, "r1"), 8)
--- a/router/forward/deadconns_test.go
+++ b/router/forward/deadconns_test.go
@@ -28,7 +28,7 @@
 		all.Go(func() { f.do(req) })
 	}
 	all.Wait()
-	link.Hush()
+	link.Silence()
 	req := f.request("GET", "/safe/x", "")
 	req.Header.Set("X-Deadline", "400")
 	f.is.Equal(f.do(req).status, http.StatusGatewayTimeout) // on a silent connection
--- a/router/forward/limits_test.go
+++ b/router/forward/limits_test.go
@@ -25,7 +25,7 @@
 	expect := func(wantInForce bool, want float64, how backend.Behaviour, values ...string) {
 		t.Helper()
 		how.Limit = values
-		e.Behave(func(backend.Run) backend.Behaviour { return how })
+		e.SetBehaviour(func(backend.Run) backend.Behaviour { return how })
 		before := e.Arrivals()
 		f.eventually("the previous limit admits a request", func() bool {
 			f.do(f.request("GET", "/open/x", ""))
@@ -95,7 +95,7 @@
 	time.Sleep(1100 * time.Millisecond) // both limits admit a request
 	broken := backend.Behaviour{Events: 20, Gap: 20 * time.Millisecond, BreakAfter: 5, Limit: []string{"2"}}
 	for _, e := range f.backends {
-		e.Behave(func(run backend.Run) backend.Behaviour {
+		e.SetBehaviour(func(run backend.Run) backend.Behaviour {
 			if run.Header.Get("Last-Event-Id") == "" && run.ID == "long" {
 				return broken
 			}
--- a/router/forward/responses_test.go
+++ b/router/forward/responses_test.go
@@ -121,13 +121,13 @@
 		"body breaks off":  {Body: strings.Repeat("x", 1000), BreakAfter: 10},
 		"reset, no length": {Body: strings.Repeat("x", 1000), BreakAfter: 10, NoLength: true, Reset: true},
 		"refused":          {Refuse: true},
-		"silent":           {Mute: true},
+		"silent":           {NoResponse: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			bad := f.add("bad", "plain", how)
 			f.add("good", "plain", backend.Behaviour{Body: "ok"})
-			f.backends["good"].Behave(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok"} })
+			f.backends["good"].SetBehaviour(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok"} })
 			// Equal targets are chosen at random.
 			for n := 0; n < 6 || bad.Arrivals() == 0 && n < 100; n++ {
 				got := f.do(f.request("GET", "/safe/x", ""))
@@ -148,7 +148,7 @@
 		{"body breaks off", backend.Behaviour{Body: strings.Repeat("x", 1000), BreakAfter: 10}, 502},
 		{"connection closed", backend.Behaviour{Body: "xx", BreakAfter: 1, Reset: true}, 502},
 		{"no signature", backend.Behaviour{NoStamp: true, Body: "x"}, 502},
-		{"silent", backend.Behaviour{Mute: true}, 504},
+		{"silent", backend.Behaviour{NoResponse: true}, 504},
 		{"failure", backend.Behaviour{Status: 500}, 500},
 	}
 	for _, c := range cases {
@@ -197,9 +197,9 @@
 		return backend.Behaviour{Refuse: true}
 	}
 	e1 := f.add("t1", "plain", backend.Behaviour{})
-	e1.Behave(how)
+	e1.SetBehaviour(how)
 	e2 := f.add("t2", "plain", backend.Behaviour{})
-	e2.Behave(how)
+	e2.SetBehaviour(how)
 	got := f.do(f.request("GET", "/safe/x", ""))
 	f.is.Equal(f.arrivals(), 2)
 	f.is.Equal(got.status, 502)
@@ -249,11 +249,11 @@
 // request body: the rest of the body is still due on it.
 func TestConnectionIsNotReusedAfterEarlyResponse(t *testing.T) {
 	f := newFixture(t)
-	e := f.add("t1", "plain", backend.Behaviour{Body: "early", EarlyAnswer: true})
+	e := f.add("t1", "plain", backend.Behaviour{Body: "early", EarlyResponse: true})
 	body := strings.Repeat("x", 90000)
 	got := f.do(f.request("POST", "/safe/x", body))
 	f.is.Equal(got.body, "early")
-	e.Behave(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok"} })
+	e.SetBehaviour(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok"} })
 	f.is.Equal(f.do(f.request("POST", "/safe/x", "second")).body, "ok")
 	f.is.Equal(e.Runs()[0].Body, "second")
 }
@@ -277,7 +277,7 @@
 
 func TestRouteTimeoutIsEnforced(t *testing.T) {
 	f := newFixture(t)
-	f.add("t1", "plain", backend.Behaviour{Mute: true})
+	f.add("t1", "plain", backend.Behaviour{NoResponse: true})
 	started := time.Now()
 	got := f.do(f.request("POST", "/unsafe/x", "b"))
 	f.is.Equal(got.status, 504)
@@ -287,7 +287,7 @@
 
 func TestCallerDeadlineIsEnforced(t *testing.T) {
 	f := newFixture(t)
-	f.add("t1", "plain", backend.Behaviour{Mute: true})
+	f.add("t1", "plain", backend.Behaviour{NoResponse: true})
 	req := f.request("POST", "/unsafe/x", "b")
 	req.Header.Set("X-Deadline", "200")
 	got := f.do(req)
--- a/router/forward/streams_test.go
+++ b/router/forward/streams_test.go
@@ -70,8 +70,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			how := breakOnce(broken, complete)
-			f.add("e1", "engine", complete).Behave(how)
-			f.add("e2", "engine", complete).Behave(how)
+			f.add("e1", "engine", complete).SetBehaviour(how)
+			f.add("e2", "engine", complete).SetBehaviour(how)
 			got := f.do(f.request("POST", "/stream/x", "p"))
 			f.is.NoErr(got.err)
 			f.is.Equal(got.status, 200)
@@ -89,8 +89,8 @@
 func TestSilentTargetIsCancelledWhenAnotherResumes(t *testing.T) {
 	f := newFixture(t)
 	how := breakOnce(backend.Behaviour{Events: 10, Gap: 20 * time.Second}, backend.Behaviour{Events: 10})
-	f.add("e1", "engine", backend.Behaviour{}).Behave(how)
-	f.add("e2", "engine", backend.Behaviour{}).Behave(how)
+	f.add("e1", "engine", backend.Behaviour{}).SetBehaviour(how)
+	f.add("e2", "engine", backend.Behaviour{}).SetBehaviour(how)
 	got := f.do(f.request("POST", "/stream/x", "p"))
 	f.is.Equal(got.body, events("r1", 10))
 	first := f.backends[f.recorder.attempts[0].Target]
--- a/router/node/limits_test.go
+++ b/router/node/limits_test.go
@@ -32,7 +32,7 @@
 
 // advertise sets the rate limit that the target advertises; no values: no limit.
 func (f *limitedFleet) advertise(values ...string) {
-	f.limited.Behave(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok", Limit: values} })
+	f.limited.SetBehaviour(func(backend.Run) backend.Behaviour { return backend.Behaviour{Body: "ok", Limit: values} })
 }
 
 // sendFor sends requests through all hosts for a while, and counts those that reached the target.
--- a/router/prepaid/append_test.go
+++ b/router/prepaid/append_test.go
@@ -103,5 +103,5 @@
 		return end, err
 	}
 	f.log.Trim(p)
-	return 0, memlog.ErrNoAnswer
+	return 0, memlog.ErrNoResponse
 }
--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend stands in for a target that speaks plain HTTP/1.1: a model
-// engine that streams events or a service that answers whole. It keeps what it
-// ran, and fails as told.
+// Package backend simulates a target that speaks plain HTTP/1.1: a model engine
+// that streams events, or a service that sends whole responses. It records the
+// requests that it ran, and fails as its Behaviour says.
 package backend
 
 import (
@@ -20,38 +20,38 @@
 	RequestID, ExpectTarget, LastEventID, Stamp, NotRun, Limit string
 }
 
-// Behaviour says how requests are answered. The zero value answers at once.
+// Behaviour is how a request is answered. The zero value responds at once.
 type Behaviour struct {
-	Status       int           // 0: 200
-	Delay        time.Duration // before the answer begins
-	Events       int           // of a stream; 0: a whole answer
-	Gap          time.Duration // between events
-	Body         string        // of a whole answer
-	Refuse       bool          // say that it was not run
-	NoLength     bool          // no length: the answer ends with its connection
-	BreakAfter   int           // break off after so many events, or bytes of a whole answer
-	BreakInside  bool          // break off inside an event
-	Reset        bool          // break off by a reset, not by an orderly close
-	Mute         bool          // never answer
-	Extra        bool          // send a second answer after the first
-	CrossedFirst bool          // send another request's answer first
-	NoStamp      bool          // leave the signature out
-	EarlyAnswer  bool          // answer before the body is read
-	Crash        bool          // end after Delay, with all that is under way
-	Limit        []string      // what each answer names as the limit of the backend
+	Status        int           // 0: 200
+	Delay         time.Duration // before the response begins
+	Events        int           // number of events of a stream; 0: a whole response
+	Gap           time.Duration // between events
+	Body          string        // of a whole response
+	Refuse        bool          // refuse, and say that the request was not run
+	NoLength      bool          // send no length: the response ends as the connection closes
+	BreakAfter    int           // break off after this many events, or bytes of a whole response
+	BreakInside   bool          // break off inside an event
+	Reset         bool          // break off by a TCP reset, not by an orderly close
+	NoResponse    bool          // never respond
+	Extra         bool          // send a second response after the first
+	CrossedFirst  bool          // send another request's response first
+	NoStamp       bool          // omit the stamp
+	EarlyResponse bool          // respond before the body is read
+	Crash         bool          // close the backend and all its connections after Delay
+	Limit         []string      // values of the limit header of each response
 }
 
-// Run is one request that the backend began to work on.
+// Run is one request that the backend began to run.
 type Run struct {
 	ID, Method, URI, Host, Body string
 	Header                      http.Header
-	From                        int // first event made
-	Made                        int // events made
+	From                        int // number of the first event to send
+	Made                        int // events sent
 	Cancelled                   bool
 	Connection                  string // remote address
 }
 
-// Backend is one incarnation.
+// Backend is one incarnation of a target.
 type Backend struct {
 	ID    string
 	names Names
@@ -63,7 +63,7 @@
 	runs     []*Run
 	arrivals int
 	conns    map[net.Conn]bool
-	ended    chan struct{} // closed at the end
+	ended    chan struct{} // closed by Close
 	once     sync.Once
 }
 
@@ -78,17 +78,17 @@
 	return b, nil
 }
 
-// Address is where it listens.
+// Address is the address that the backend listens on.
 func (b *Backend) Address() string { return b.listener.Addr().String() }
 
-// Behave changes how requests are answered from now on.
-func (b *Backend) Behave(f func(Run) Behaviour) {
+// SetBehaviour changes how requests are answered from now on. f must not call the backend.
+func (b *Backend) SetBehaviour(f func(Run) Behaviour) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.behave = f
 }
 
-// Runs copies what was run.
+// Runs returns a copy of the requests that were run.
 func (b *Backend) Runs() []Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,24 +99,24 @@
 	return runs
 }
 
-// Arrivals counts the requests that came, run or not.
+// Arrivals is the number of requests received, run or not.
 func (b *Backend) Arrivals() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.arrivals
 }
 
-// Connections counts the open connections.
+// Connections is the number of open connections.
 func (b *Backend) Connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.conns)
 }
 
-// Done is closed when the backend has ended.
+// Done is closed when the backend is closed.
 func (b *Backend) Done() <-chan struct{} { return b.ended }
 
-// Close ends the backend and all its connections.
+// Close closes the listener and all connections. It may be called more than once.
 func (b *Backend) Close() {
 	_ = b.listener.Close()
 	b.once.Do(func() { close(b.ended) })
@@ -137,7 +137,7 @@
 		b.conns[c] = true
 		b.mu.Unlock()
 		if b.isDone() {
-			_ = c.Close() // it came as the backend ended
+			_ = c.Close() // accepted while the backend was closing
 		}
 		go b.serve(c)
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-// answer serves one request and says whether the connection goes on.
+// answer serves one request and reports whether the connection stays open.
 func (b *Backend) answer(c net.Conn, reader *bufio.Reader, req *http.Request) bool {
 	run := Run{
 		ID: req.Header.Get(b.names.RequestID), Method: req.Method, URI: req.RequestURI, Host: req.Host,
@@ -178,8 +178,8 @@
 	b.arrivals++
 	how := b.behave(run)
 	b.mu.Unlock()
-	if how.EarlyAnswer {
-		// The rest of the body is read on afterwards, as the page allows.
+	if how.EarlyResponse {
+		// The rest of the body is read afterwards, as the protocol's page allows.
 		b.write(c, run, how)
 		_, _ = io.Copy(io.Discard, req.Body)
 		return true
@@ -200,7 +200,7 @@
 	return b.run(c, reader, &run, how)
 }
 
-// run works on a request and says whether the connection goes on.
+// run records a request, runs it and reports whether the connection stays open.
 func (b *Backend) run(c net.Conn, reader *bufio.Reader, run *Run, how Behaviour) bool {
 	run.From = 1
 	if last, err := strconv.Atoi(run.Header.Get(b.names.LastEventID)); err == nil {
@@ -212,14 +212,14 @@
 	gone, done := watch(reader)
 	goes := b.work(c, run, how, gone)
 	if goes {
-		<-done // the next request is there, or the end
+		<-done // the next request has arrived, or the connection was closed
 	}
 	return goes
 }
 
-// work answers a request that was taken on.
+// work responds to a request that was recorded.
 func (b *Backend) work(c net.Conn, run *Run, how Behaviour, gone <-chan struct{}) bool {
-	if how.Mute {
+	if how.NoResponse {
 		<-gone
 		return b.cancelled(run)
 	}
@@ -246,12 +246,12 @@
 }
 
 // watch closes gone when the peer closes the connection, and done then or when
-// the next request is there. Until done, nobody else may read.
+// the next request arrives. Nothing else may use reader until done is closed.
 func watch(reader *bufio.Reader) (gone, done chan struct{}) {
 	gone, done = make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		// Peek waits for the next request or the end and takes nothing.
+		// Peek waits for the next request or the end, and consumes nothing.
 		if _, err := reader.Peek(1); err != nil {
 			close(gone)
 		}
@@ -289,7 +289,7 @@
 	return h.String()
 }
 
-// limitLines are the header lines that name a limit.
+// limitLines returns the header lines with the limits.
 func (b *Backend) limitLines(how Behaviour) string {
 	var h strings.Builder
 	for _, value := range how.Limit {
@@ -298,7 +298,7 @@
 	return h.String()
 }
 
-// write sends a whole answer.
+// write sends a whole response and reports whether it was sent in full.
 func (b *Backend) write(c net.Conn, run Run, how Behaviour) bool {
 	head, body := b.head(run, how), how.Body
 	if !how.NoLength {
@@ -315,7 +315,7 @@
 	return err == nil && !broken
 }
 
-// reset makes closing the connection a reset.
+// reset makes closing the connection send a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -325,7 +325,7 @@
 // Event is the text of one event of a stream.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
-// stream sends events, in chunks unless the answer has no length.
+// stream sends events, in chunked encoding unless NoLength, and reports whether all were sent.
 func (b *Backend) stream(c net.Conn, run *Run, how Behaviour, gone <-chan struct{}) bool {
 	head := b.head(*run, how) + "Content-Type: text/event-stream\r\n"
 	if !how.NoLength {
--- a/standin/bigconfig/bigconfig.go
+++ b/standin/bigconfig/bigconfig.go
@@ -1,5 +1,5 @@
-// Package bigconfig makes large configurations like those that operators publish, for tests of
-// how they get to the hosts.
+// Package bigconfig generates large configurations like those that operators publish, for tests
+// of their distribution to the hosts.
 package bigconfig
 
 import (
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 )
 
-// Routes makes the JSON of a configuration of so many routes, some 190 bytes each. As in
-// real ones, the names differ and the rest repeats; the same seed gives the same names.
+// Routes returns the JSON of a configuration with this many routes, some 190 bytes each. As in
+// real ones, the names differ and the rest repeats. The same seed gives the same names.
 func Routes(routes int, seed uint64) []byte {
 	draw := rand.New(rand.NewPCG(seed, 0))
 	var b bytes.Buffer
--- a/standin/cmd/maststandin/main.go
+++ b/standin/cmd/maststandin/main.go
@@ -1,11 +1,11 @@
-// Maststandin runs one small stand-in of the platform or of a target.
+// Maststandin runs one stand-in: a simulated platform service or target.
 //
 //	maststandin log -listen ADDR [-rate N] [-retain N]
 //	maststandin members -listen ADDR -member NAME,ADDRESS,ROLE,POOL,DOMAIN,SLOTS[,fenced] ...
 //	maststandin engine|service -listen ADDR -name NAME [-slots N] [-each D] [-fenced]
 //	maststandin switch ADDR NAME=NUMBER
 //
-// The last sets a switch of one that runs. Each takes /switch?NAME=NUMBER; targets show their record at /ledger.
+// The last sets a switch of a running stand-in. Each stand-in serves /switch?NAME=NUMBER; targets serve their runs at /ledger.
 package main
 
 import (
@@ -27,7 +27,7 @@
 
 func (m *memberFlag) String() string { return fmt.Sprint(len(*m), " members") }
 
-// Set adds one.
+// Set adds a member.
 func (m *memberFlag) Set(s string) error {
 	one, err := members.Parse(s)
 	if err != nil {
@@ -39,22 +39,22 @@
 
 func main() {
 	if len(os.Args) < 2 {
-		fail("which stand-in: log, members, engine, service, or switch?")
+		fail("missing command: log, members, engine, service or switch")
 	}
 	if os.Args[1] == "switch" {
-		turn(os.Args[2:])
+		setSwitch(os.Args[2:])
 		return
 	}
 	fs := flag.NewFlagSet(os.Args[1], flag.ExitOnError)
 	listen := fs.String("listen", "127.0.0.1:0", "IP:port")
 	name := fs.String("name", "target", "name of a target")
-	slots := fs.Int("slots", 8, "requests a target runs at once")
+	slots := fs.Int("slots", 8, "number of requests that a target runs at once")
 	each := fs.Duration("each", 10*time.Millisecond, "time for a token or a call")
-	fenced := fs.Bool("fenced", false, "check the fence of orders")
-	rate := fs.Int("rate", 100, "appends a second")
-	retain := fs.Int("retain", 100000, "entries kept")
+	fenced := fs.Bool("fenced", false, "reject requests whose fence is lower than one seen before")
+	rate := fs.Int("rate", 100, "maximum number of appends per second")
+	retain := fs.Int("retain", 100000, "number of entries kept")
 	var list memberFlag
-	fs.Var(&list, "member", "a member of the list")
+	fs.Var(&list, "member", "member of the list; may be repeated")
 	_ = fs.Parse(os.Args[2:])
 
 	mux := http.NewServeMux()
@@ -74,7 +74,7 @@
 		mux.Handle("/switch", t.Switches)
 		mux.Handle("/ledger", t.Book)
 	default:
-		fail("no stand-in " + os.Args[1])
+		fail("unknown stand-in " + os.Args[1])
 	}
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -83,8 +83,8 @@
 	fail(s.ListenAndServe().Error())
 }
 
-// turn sets a switch of a stand-in that runs.
-func turn(args []string) {
+// setSwitch sets a switch of a running stand-in.
+func setSwitch(args []string) {
 	if len(args) != 2 {
 		fail("usage: maststandin switch ADDR NAME=NUMBER")
 	}
--- a/standin/faultlink/conn.go
+++ b/standin/faultlink/conn.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Figures of a connection.
+// Limits of a connection.
 const (
-	// chunk is how many bytes cross at a time: small, so that connections that share a
-	// rate do so evenly.
+	// chunk is the maximum number of bytes forwarded at a time: small, so that connections
+	// that share a rate do so evenly.
 	chunk = 4 << 10
-	// maxQueued is how many chunks may be on their way, 256 KB.
+	// maxQueued is the maximum number of chunks in flight, 256 KB.
 	maxQueued = 64
 )
 
 // conn is one connection over a link.
 type conn struct {
 	link *Link
-	near net.Conn // the side that connected
-	far  net.Conn
+	near net.Conn // to the client
+	far  net.Conn // to the server
 
-	hushed   atomic.Bool // silent for good
-	lostDown atomic.Bool // bytes of it vanished
+	silenced atomic.Bool // drops all bytes from now on
+	lostDown atomic.Bool // bytes were dropped
 	lostUp   atomic.Bool
 	once     sync.Once
 }
 
-// arrival is bytes on their way down.
+// arrival is bytes in flight to the client and when they arrive.
 type arrival struct {
 	data []byte
 	at   time.Time
 }
 
-// broken says whether bytes are missing and later ones would now get through.
+// broken reports whether bytes were dropped in a direction in which f drops none.
 func (c *conn) broken(f Fault) bool {
 	return c.lostDown.Load() && !f.DropDown || c.lostUp.Load() && !f.DropUp
 }
 
-// up carries bytes to the far side until one side ends.
+// up forwards bytes to the server until one side closes.
 func (c *conn) up() {
 	defer c.close()
 	data := make([]byte, chunk)
@@ -48,10 +48,10 @@
 		if err != nil {
 			return
 		}
-		if c.hushed.Load() {
+		if c.silenced.Load() {
 			continue
 		}
-		if c.link.atWork().DropUp {
+		if c.link.active().DropUp {
 			c.lostUp.Store(true)
 			continue
 		}
@@ -61,13 +61,13 @@
 	}
 }
 
-// down carries bytes to the near side until one side ends.
+// down forwards bytes to the client until one side closes.
 func (c *conn) down() {
 	arriving := make(chan arrival, maxQueued)
 	go c.read(arriving)
 	for a := range arriving {
 		time.Sleep(time.Until(a.at))
-		if c.hushed.Load() {
+		if c.silenced.Load() {
 			continue
 		}
 		if _, err := c.near.Write(a.data); err != nil {
@@ -75,12 +75,12 @@
 		}
 	}
 	c.close()
-	// The reader ends with its connection; what it still sends is dropped.
+	// read returns once its connection is closed; what it still sends is dropped.
 	for range arriving {
 	}
 }
 
-// read puts what the far side sends on its way.
+// read schedules the bytes from the server.
 func (c *conn) read(arriving chan<- arrival) {
 	defer close(arriving)
 	var way pace
@@ -90,9 +90,9 @@
 		if err != nil {
 			return
 		}
-		fault := c.link.atWork()
+		fault := c.link.active()
 		switch {
-		case c.hushed.Load():
+		case c.silenced.Load():
 			continue
 		case fault.DropDown:
 			c.lostDown.Store(true)
@@ -110,13 +110,13 @@
 	}
 }
 
-// pace is when the bytes of a connection arrive.
+// pace computes when the bytes of a connection arrive.
 type pace struct {
-	free time.Time // when the bytes so far have crossed at the connection's rate
-	last time.Time // arrival of the bytes so far; none overtake them
+	free time.Time // when the bytes so far have been transmitted at the connection's rate
+	last time.Time // arrival of the last bytes; later ones don't overtake them
 }
 
-// arrive says when so many bytes arrive that are sent now.
+// arrive returns when bytes that are sent now arrive.
 func (p *pace) arrive(bytes int, f Fault, now time.Time) time.Time {
 	at := now.Add(f.delay())
 	if f.PerSecond > 0 {
@@ -134,7 +134,7 @@
 	return b
 }
 
-// reset ends both sides with a reset.
+// reset closes both sides with a TCP reset.
 func (c *conn) reset() {
 	for _, side := range []net.Conn{c.near, c.far} {
 		if tcp, ok := side.(*net.TCPConn); ok {
@@ -144,7 +144,7 @@
 	c.close()
 }
 
-// close ends both sides.
+// close closes both sides. It may be called more than once.
 func (c *conn) close() {
 	c.once.Do(func() {
 		_ = c.near.Close()
--- a/standin/faultlink/faultlink.go
+++ b/standin/faultlink/faultlink.go
@@ -1,6 +1,6 @@
-// Package faultlink stands in for the network between two processes: a TCP proxy to one
-// address whose faults are switched on and off while connections are open. Any faults may
-// overlap, and each ends when it is healed, whatever the connections do.
+// Package faultlink simulates the network between two processes with a TCP proxy to one
+// address, whose faults are switched on and off while connections are open. Faults may
+// overlap, and each ends when it is healed, whatever state the connections are in.
 package faultlink
 
 import (
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Fault is what befalls all connections of a link while it is at work. Down is towards
+// Fault affects all connections of a link while it is active. Down is towards the client,
 // the side that connected.
 type Fault struct {
 	Delay     time.Duration // of bytes down
-	Jitter    time.Duration // by which each delay may be longer or shorter
-	PerSecond float64       // bytes down that each connection carries; 0: any number
-	// DropDown and DropUp let bytes vanish. A connection that lost some ends with the fault.
+	Jitter    time.Duration // maximum deviation of each delay
+	PerSecond float64       // rate of bytes down on each connection; 0: no limit
+	// DropDown and DropUp drop bytes. A connection that lost some is closed when the fault ends.
 	DropDown, DropUp bool
-	// Reset resets a connection ResetAfter the next bytes down.
+	// Reset resets a connection ResetAfter after the next bytes down.
 	Reset      bool
 	ResetAfter time.Duration
 }
 
-// add gives both faults in one.
+// add combines two faults.
 func (f Fault) add(other Fault) Fault {
 	f.Delay = max(f.Delay, other.Delay)
 	f.Jitter = max(f.Jitter, other.Jitter)
@@ -41,20 +41,20 @@
 
 // Options configure a Link.
 type Options struct {
-	Listen string // IP:port where connections come in
-	To     string // where they lead
-	// Arrive says when so many bytes down arrive, beside what faults do; nil: at once.
+	Listen string // IP:port to listen on
+	To     string // IP:port to connect to
+	// Arrive returns when bytes down arrive at the earliest, apart from faults; nil: at once.
 	Arrive func(bytes int) time.Time
 }
 
-// Link is the way to one address.
+// Link is a proxy to one address.
 type Link struct {
 	opts     Options
 	listener net.Listener
 
 	mu    sync.Mutex
 	next  int
-	fault map[int]Fault // those at work
+	fault map[int]Fault // active ones by number
 	conns map[*conn]bool
 }
 
@@ -71,11 +71,11 @@
 	return l
 }
 
-// Address is where connections come in.
+// Address is the address that the link listens on.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Strike lets a fault begin; the function that it gives ends it.
-func (l *Link) Strike(f Fault) (heal func()) {
+// Inject starts a fault; the returned function ends it.
+func (l *Link) Inject(f Fault) (heal func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	number := l.next
@@ -84,12 +84,12 @@
 	return func() { l.heal(number) }
 }
 
-// heal ends a fault, and the connections that lost bytes where none are lost any more.
+// heal ends a fault, and closes the connections that lost bytes in a direction that now drops none.
 func (l *Link) heal(number int) {
 	l.mu.Lock()
 	delete(l.fault, number)
 	l.mu.Unlock()
-	now := l.atWork()
+	now := l.active()
 	for _, c := range l.open() {
 		if c.broken(now) {
 			c.close()
@@ -97,16 +97,16 @@
 	}
 }
 
-// Hush lets the connections that are open go silent for good, in both directions and
-// without an end. New ones work.
-func (l *Link) Hush() {
+// Silence drops all further bytes of the connections that are open now, in both directions
+// and without closing them. New connections work.
+func (l *Link) Silence() {
 	for _, c := range l.open() {
-		c.hushed.Store(true)
+		c.silenced.Store(true)
 	}
 }
 
-// atWork is all faults at work in one.
-func (l *Link) atWork() Fault {
+// active combines the active faults.
+func (l *Link) active() Fault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all Fault
@@ -126,7 +126,7 @@
 	return list
 }
 
-// Close ends the link and its connections, as if nobody listened any more.
+// Close closes the listener and all connections, as if the server had exited.
 func (l *Link) Close() {
 	_ = l.listener.Close()
 	for _, c := range l.open() {
@@ -144,7 +144,7 @@
 	}
 }
 
-// carry joins a connection that came in with one to the other side.
+// carry connects to the server and forwards both ways until the connection ends.
 func (l *Link) carry(near net.Conn) {
 	far, err := net.Dial("tcp", l.opts.To)
 	if err != nil {
@@ -159,7 +159,7 @@
 	c.down()
 }
 
-// delay is how long bytes down take by a fault.
+// delay draws the delay of bytes down.
 func (f Fault) delay() time.Duration {
 	if f.Jitter <= 0 {
 		return f.Delay
--- a/standin/faultlink/faultlink_test.go
+++ b/standin/faultlink/faultlink_test.go
@@ -10,18 +10,18 @@
 	"github.com/matryer/is"
 )
 
-// healTime is far above what the end of a fault takes.
+// healTime is far above the time in which a fault ends.
 const healTime = 5 * time.Second
 
-// A connection that is delayed and reset at once must not keep the delay from ending:
-// faults of a long run overlap in any order.
+// A connection under a delay and a reset at the same time must not keep the delay from
+// ending, since in a long run faults overlap in any order.
 func TestOverlappingFaultsEnd(t *testing.T) {
 	is := is.New(t)
 	l := open(t)
 	for range 20 {
 		stop := readers(l.Address(), 20)
-		slow := l.Strike(Fault{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond})
-		reset := l.Strike(Fault{Reset: true, ResetAfter: time.Millisecond})
+		slow := l.Inject(Fault{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond})
+		reset := l.Inject(Fault{Reset: true, ResetAfter: time.Millisecond})
 		time.Sleep(30 * time.Millisecond)
 		healed := make(chan struct{})
 		go func() {
@@ -32,30 +32,30 @@
 		select {
 		case <-healed:
 		case <-time.After(healTime):
-			t.Fatal("the faults do not end")
+			t.Fatal("the faults did not end within the time limit")
 		}
 		stop()
 	}
-	is.True(talks(dial(t, l), healTime)) // all is well again
+	is.True(talks(dial(t, l), healTime)) // no fault is left
 }
 
-func TestHushedConnectionsStaySilentAndNewOnesWork(t *testing.T) {
+func TestSilencedConnectionsStaySilentAndNewOnesWork(t *testing.T) {
 	is := is.New(t)
 	l := open(t)
 	old := dial(t, l)
 	is.True(talks(old, healTime))
-	l.Hush()
-	time.Sleep(20 * time.Millisecond) // what was on its way
+	l.Silence()
+	time.Sleep(20 * time.Millisecond) // bytes in flight arrive
 	is.True(!talks(old, 200*time.Millisecond))
 	is.True(talks(dial(t, l), healTime))
 }
 
-func TestConnectionsThatLostBytesEndWithTheFault(t *testing.T) {
+func TestConnectionsThatLostBytesCloseWhenFaultEnds(t *testing.T) {
 	is := is.New(t)
 	l := open(t)
 	c := dial(t, l)
 	is.True(talks(c, healTime))
-	heal := l.Strike(Fault{DropDown: true})
+	heal := l.Inject(Fault{DropDown: true})
 	time.Sleep(50 * time.Millisecond)
 	heal()
 	is.True(ends(c))
@@ -68,12 +68,12 @@
 	now := time.Now()
 	first := p.arrive(1000, Fault{Delay: 100 * time.Millisecond}, now)
 	is.Equal(first.Sub(now), 100*time.Millisecond)
-	is.Equal(p.arrive(1000, Fault{}, now), first)                                         // none overtake
-	is.Equal(p.arrive(1000, Fault{PerSecond: 2000}, now).Sub(now), 500*time.Millisecond)  // half a second at the rate
-	is.Equal(p.arrive(1000, Fault{PerSecond: 2000}, now).Sub(now), 1000*time.Millisecond) // behind it
+	is.Equal(p.arrive(1000, Fault{}, now), first)                                         // not earlier than those before
+	is.Equal(p.arrive(1000, Fault{PerSecond: 2000}, now).Sub(now), 500*time.Millisecond)  // transmission time at the rate
+	is.Equal(p.arrive(1000, Fault{PerSecond: 2000}, now).Sub(now), 1000*time.Millisecond) // queued behind the last
 }
 
-// open opens a link to who sends a line each millisecond.
+// open opens a link to a server that sends a line each millisecond.
 func open(t *testing.T) *Link {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +92,7 @@
 	return Open(t, Options{Listen: "127.0.0.1:0", To: listener.Addr().String()})
 }
 
-// talk sends lines until the connection ends.
+// talk sends lines until the connection closes.
 func talk(conn net.Conn) {
 	defer conn.Close()
 	for {
@@ -113,14 +113,14 @@
 	return c
 }
 
-// talks says whether something comes within a time.
+// talks reports whether bytes arrive within limit.
 func talks(c net.Conn, limit time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(limit))
 	n, _ := c.Read(make([]byte, chunk))
 	return n > 0
 }
 
-// ends says whether the connection ends, and not by the reader's time limit.
+// ends reports whether the connection closes before the read deadline.
 func ends(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(healTime))
 	for {
@@ -133,8 +133,7 @@
 	}
 }
 
-// readers keeps n connections that are read from until stop is called; one that ends is
-// made anew.
+// readers reads from n connections until stop is called, replacing each that closes.
 func readers(address string, n int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -151,7 +150,7 @@
 	}
 }
 
-// readUntil reads from a new connection until it ends or ctx does.
+// readUntil reads from a new connection until it closes or ctx is done.
 func readUntil(ctx context.Context, address string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger is a target's own record of what it ran: the oracle of the
-// tests. It shares nothing with the fleet's accounting.
+// Package ledger is a simulated target's own record of the requests that it ran, which
+// tests use as their oracle. It shares no code with the fleet's accounting.
 package ledger
 
 import (
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Run is one order that a target carried out, or began to.
+// Run is one request that a target ran or began to run. It is sent as JSON under the names of its fields.
 type Run struct {
 	RequestID string
 	Account   string
 	Target    string
-	From      uint32 // tokens that whoever asked had already
+	From      uint32 // tokens that the caller had already
 	Tokens    uint32 // used
 	Start     time.Time
-	End       time.Time // zero while it goes on
+	End       time.Time // zero while it is running
 }
 
-// Book collects runs.
+// Book records the runs of one target.
 type Book struct {
 	target string
 
@@ -28,10 +28,10 @@
 	runs []*Run
 }
 
-// New makes the book of a target.
+// New returns an empty book of a target.
 func New(target string) *Book { return &Book{target: target} }
 
-// Begin notes the start of a run behind the token from, and what it used at once.
+// Begin records the start of a run that resumes after the first from tokens, and the tokens that it used at once.
 func (b *Book) Begin(id, account string, from, tokens uint32) *Run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,21 +40,21 @@
 	return r
 }
 
-// Use adds tokens to a run.
+// Use adds tokens to those that a run used.
 func (b *Book) Use(r *Run, tokens uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.Tokens += tokens
 }
 
-// Done notes the end of a run.
+// Done records the end of a run.
 func (b *Book) Done(r *Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.End = time.Now()
 }
 
-// Used is what all runs of a request used here.
+// Used is the number of tokens that all runs of a request used on this target.
 func (b *Book) Used(id string) (tokens uint32, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +67,7 @@
 	return tokens, known
 }
 
-// ServeHTTP gives all runs as a JSON list.
+// ServeHTTP sends all runs as a JSON list.
 func (b *Book) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/standin/logd/logd.go
+++ b/standin/logd/logd.go
@@ -1,4 +1,4 @@
-// Package logd stands in for the platform's append-only log.
+// Package logd simulates the platform's append-only log.
 package logd
 
 import (
@@ -15,8 +15,9 @@
 	"maststage.dev/standin/toggle"
 )
 
-// Log keeps entries in memory. Switches: down, slow (ms for each call),
-// losereply (so many appends take effect without a reply), losepercent.
+// Log keeps entries in memory. Its switches are down (calls fail), slow (ms added to each
+// call), losereply (number of appends that take effect without a reply) and losepercent
+// (share of appends that take effect without a reply).
 type Log struct {
 	Switches *toggle.Set
 	perSec   int
@@ -30,7 +31,7 @@
 	lost    int
 }
 
-// New makes a log that takes perSec appends a second and keeps retain entries.
+// New returns a log that accepts perSec appends a second and keeps the last retain entries.
 func New(perSec, retain int) *Log {
 	return &Log{
 		Switches: toggle.New("down", "slow", "losereply", "losepercent"),
@@ -40,9 +41,9 @@
 
 var errDown = connect.NewError(connect.CodeUnavailable, errors.New("the log is down"))
 
-const maxBacklog = 2 * time.Second // of appends beyond the rate
+const maxBacklog = 2 * time.Second // longest wait for an append's turn
 
-func (l *Log) gate(ctx context.Context) error {
+func (l *Log) checkSwitches(ctx context.Context) error {
 	if ms := l.Switches.Get("slow"); ms > 0 {
 		wait.For(ctx, time.Duration(ms)*time.Millisecond)
 	}
@@ -52,9 +53,9 @@
 	return ctx.Err()
 }
 
-// Append appends, at most perSec a second.
+// Append appends an entry, at most perSec a second.
 func (l *Log) Append(ctx context.Context, r *connect.Request[platformv1.AppendRequest]) (*connect.Response[platformv1.AppendResponse], error) {
-	if err := l.gate(ctx); err != nil {
+	if err := l.checkSwitches(ctx); err != nil {
 		return nil, err
 	}
 	turn, err := l.reserve()
@@ -66,14 +67,14 @@
 		return nil, errDown
 	}
 	off := l.store(r.Msg.Data)
-	if l.Switches.Take("losereply") || l.loses() {
+	if l.Switches.Take("losereply") || l.losesReply() {
 		panic(http.ErrAbortHandler)
 	}
 	return connect.NewResponse(&platformv1.AppendResponse{Offset: off}), nil
 }
 
-// loses picks every so many replies, by the switch losepercent.
-func (l *Log) loses() bool {
+// losesReply reports whether to lose this reply, so that losepercent of all are lost, evenly spread.
+func (l *Log) losesReply() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost += l.Switches.Get("losepercent")
@@ -113,14 +114,14 @@
 	return off
 }
 
-// Read gives entries from an offset on, waiting for one if there is none.
+// Read returns entries from an offset on, waiting up to WaitMs if there are none yet.
 func (l *Log) Read(ctx context.Context, r *connect.Request[platformv1.ReadRequest]) (*connect.Response[platformv1.ReadResponse], error) {
-	if err := l.gate(ctx); err != nil {
+	if err := l.checkSwitches(ctx); err != nil {
 		return nil, err
 	}
 	deadline := time.Now().Add(time.Duration(r.Msg.WaitMs) * time.Millisecond)
 	for {
-		res, grown := l.look(r.Msg.From, int(r.Msg.Max))
+		res, grown := l.entriesFrom(r.Msg.From, int(r.Msg.Max))
 		left := time.Until(deadline)
 		if len(res.Entries) > 0 || left <= 0 || res.Oldest > r.Msg.From {
 			return connect.NewResponse(res), nil
@@ -137,7 +138,7 @@
 	}
 }
 
-func (l *Log) look(from uint64, most int) (*platformv1.ReadResponse, <-chan struct{}) {
+func (l *Log) entriesFrom(from uint64, most int) (*platformv1.ReadResponse, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	res := &platformv1.ReadResponse{Oldest: l.next - uint64(len(l.entries)), Next: l.next}
--- a/standin/members/members.go
+++ b/standin/members/members.go
@@ -1,4 +1,4 @@
-// Package members stands in for the platform's membership list.
+// Package members simulates the platform's membership list.
 package members
 
 import (
@@ -17,7 +17,7 @@
 	"maststage.dev/standin/toggle"
 )
 
-// List is a membership list. Switches: down, lag (ms until a change shows).
+// List is a membership list. Its switches are down (calls fail) and lag (ms until a change shows).
 type List struct {
 	Switches *toggle.Set
 
@@ -26,23 +26,23 @@
 	changes []change
 }
 
-// change is one that does not show yet.
+// change is a change that List doesn't show before at.
 type change struct {
 	at   time.Time
 	name string
 	do   string
 }
 
-// New makes a list.
+// New returns a list with these members.
 func New(members []*platformv1.Member) *List {
 	return &List{Switches: toggle.New("down", "lag"), members: members}
 }
 
-// Parse reads a member from NAME,ADDRESS,ROLE,POOL,DOMAIN,SLOTS[,fenced].
+// Parse parses a member from NAME,ADDRESS,ROLE,POOL,DOMAIN,SLOTS[,fenced].
 func Parse(s string) (*platformv1.Member, error) {
 	f := strings.Split(s, ",")
 	if len(f) < 6 {
-		return nil, fmt.Errorf("member %q: not NAME,ADDRESS,ROLE,POOL,DOMAIN,SLOTS[,fenced]", s)
+		return nil, fmt.Errorf("member %q: want NAME,ADDRESS,ROLE,POOL,DOMAIN,SLOTS[,fenced]", s)
 	}
 	m := &platformv1.Member{Name: f[0], Address: f[1], Role: f[2], Pool: f[3], Domain: f[4]}
 	if _, err := fmt.Sscan(f[5], &m.Slots); err != nil {
@@ -52,19 +52,19 @@
 	return m, nil
 }
 
-// List gives the members as of some time ago.
+// List returns the members, without the changes that are not due yet.
 func (l *List) List(context.Context, *connect.Request[platformv1.ListRequest]) (*connect.Response[platformv1.ListResponse], error) {
 	if l.Switches.Get("down") != 0 {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("the list is down"))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.show()
+	l.applyDue()
 	return connect.NewResponse(&platformv1.ListResponse{Members: l.members}), nil
 }
 
-// show applies the changes that are due; l.mu is held.
-func (l *List) show() {
+// applyDue applies the changes that are due. The caller holds l.mu.
+func (l *List) applyDue() {
 	now := time.Now()
 	for len(l.changes) > 0 && !l.changes[0].at.After(now) {
 		l.apply(l.changes[0])
@@ -89,7 +89,7 @@
 	l.members = kept
 }
 
-// ServeHTTP takes changes: /change?name=NAME&do=leaving|live|remove.
+// ServeHTTP accepts changes: /change?name=NAME&do=leaving|live|remove.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/memlog/memlog.go
+++ b/standin/memlog/memlog.go
@@ -1,5 +1,5 @@
-// Package memlog stands in for the shared log: keyed partitions in memory, with
-// the faults of a real one. It implements eventlog.Log.
+// Package memlog simulates the shared log: it keeps keyed partitions in memory and
+// injects the faults of a real one. It implements eventlog.Log.
 package memlog
 
 import (
@@ -13,22 +13,22 @@
 	"maststage.dev/router/eventlog"
 )
 
-// ErrNoAnswer means that a call may have been done.
-var ErrNoAnswer = errors.New("memlog: no answer")
+// ErrNoResponse means that a call may have taken effect.
+var ErrNoResponse = errors.New("memlog: no response")
 
-// Fault says what happens to a call of a host. The zero value is no fault.
+// Fault is what happens to the calls of a host. The zero value is no fault.
 type Fault struct {
-	Refuse bool          // the call is refused
-	Silent bool          // nothing answers until the caller gives up; not done
-	Lose   bool          // done, and the answer is lost
-	Late   time.Duration // the answer is lost, and it is done after so long if its condition still holds
+	Refuse bool          // calls are refused
+	Silent bool          // no response until the caller's context is done; calls have no effect
+	Lose   bool          // appends take effect, but their response is lost
+	Late   time.Duration // the response is lost, and an append takes effect after this time if its condition still holds
 }
 
-// Log is the log itself. Use Host for the view of one host.
+// Log is the log itself. Host returns one host's access to it.
 type Log struct {
 	mu         sync.Mutex
 	partitions map[eventlog.Partition]*partition
-	faults     map[string]Fault // by host; "" for all
+	faults     map[string]Fault // by host; "" for all hosts
 	parts      map[eventlog.Partition]Fault
 	appends    int
 	reads      int
@@ -43,43 +43,43 @@
 
 func (p *partition) end() int64 { return p.first + int64(len(p.records)) }
 
-// New makes an empty log.
+// New returns an empty log.
 func New() *Log {
 	return &Log{partitions: map[eventlog.Partition]*partition{}, faults: map[string]Fault{}, parts: map[eventlog.Partition]Fault{}}
 }
 
-// Host gives the log as one host sees it; faults may strike it alone.
+// Host returns a host's access to the log, which may have faults of its own.
 func (l *Log) Host(name string) eventlog.Log { return &view{log: l, host: name} }
 
-// SetFault sets what happens to the calls of a host, or of all if host is empty.
+// SetFault sets the fault of the calls of a host, or of all hosts if host is empty.
 func (l *Log) SetFault(host string, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults[host] = f
 }
 
-// SetPartitionFault sets what happens to the calls of all hosts to one partition.
+// SetPartitionFault sets the fault of all hosts' calls to one partition. It precedes those of hosts.
 func (l *Log) SetPartitionFault(p eventlog.Partition, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.parts[p] = f
 }
 
-// Calls counts the appends and reads so far, refused ones included.
+// Calls is the number of appends and reads so far, refused ones included.
 func (l *Log) Calls() (appends, reads int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends, l.reads
 }
 
-// Put appends one record without a fault, for a test's own use.
+// Put appends one record regardless of faults and returns its offset.
 func (l *Log) Put(p eventlog.Partition, key string, value []byte) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.append(p, []eventlog.Record{{Key: key, Value: value}}) - 1
 }
 
-// Trim drops all records of a partition but the newest of each key.
+// Trim drops the records of a partition, as compaction does. The newest of each key stays readable by Newest.
 func (l *Log) Trim(p eventlog.Partition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// Get reads the newest record of a key.
+// Get returns the newest record of a key and whether there is one.
 func (l *Log) Get(p eventlog.Partition, key string) (eventlog.Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +139,7 @@
 	return l.faults[""]
 }
 
-// view is one host's access.
+// view is one host's access to the log.
 type view struct {
 	log  *Log
 	host string
@@ -169,11 +169,11 @@
 		return 0, ctx.Err()
 	case fault.Late > 0:
 		time.AfterFunc(fault.Late, func() { _, _ = v.apply(p, at, records) })
-		return 0, ErrNoAnswer
+		return 0, ErrNoResponse
 	}
 	end, err := v.apply(p, at, records)
 	if fault.Lose {
-		return 0, ErrNoAnswer
+		return 0, ErrNoResponse
 	}
 	return end, err
 }
@@ -223,7 +223,7 @@
 	return batch, part.grown, nil
 }
 
-// pass counts a reading call and applies faults to it.
+// pass counts a read and applies the host's faults to it.
 func (v *view) pass(ctx context.Context, p eventlog.Partition) error {
 	v.log.mu.Lock()
 	v.log.reads++
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// pageKeys bounds a page of Newest.
+// pageKeys is the maximum number of records in a page of Newest.
 const pageKeys = 500
 
 // Newest implements eventlog.Log.
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,4 +1,4 @@
-// Package target stands in for model engines and plain services.
+// Package target simulates model engines and plain services.
 package target
 
 import (
@@ -25,11 +25,12 @@
 	maxPrefixes   = 64
 )
 
-// Target is one back end. Switches: slow (ms more for each token or call),
-// silent (so many answers stop half way), cut (so many break half way), crossed
-// (so many carry another id), overrun (tokens beyond the maximum, no end mark),
-// late (ms before the first byte), losereply (so many calls act and break),
-// busy (refuses), leaving (refuses).
+// Target is one simulated target. Its switches are slow (ms added to each token or
+// call), silent (number of responses that stop half way without an end), cut (number
+// of responses that break off half way), crossed (number of responses with another
+// request's id), overrun (tokens sent beyond the maximum, without an end mark), late
+// (ms before the first byte), losereply (number of calls that run but get no
+// response), busy and leaving (both refuse new requests).
 type Target struct {
 	Switches *toggle.Set
 	Book     *ledger.Book
@@ -45,14 +46,14 @@
 	orders   int
 	fences   map[string]uint64
 	prefixes []uint64
-	load     *platformv1.LoadResponse // the last report
+	load     *platformv1.LoadResponse // last load report
 	loadAt   time.Time
 }
 
-// reportLag is how old a load report may be.
+// reportLag is the maximum age of a load report.
 const reportLag = 300 * time.Millisecond
 
-// New makes a target that needs perToken for each token, or for each call.
+// New returns a target that takes perToken for each token of a stream, or for each call.
 func New(name string, slots int, perToken time.Duration, fenced bool) *Target {
 	return &Target{
 		Switches: toggle.New("slow", "silent", "cut", "crossed", "overrun", "late", "losereply", "busy", "leaving"),
@@ -64,17 +65,17 @@
 	}
 }
 
-// Token is the text of a request's token; every engine generates the same.
+// Token is the text of a token of a request. It is the same on every engine.
 func Token(id string, index uint32) []byte {
 	h := fnv.New32a()
 	fmt.Fprintf(h, "%s/%d", id, index)
 	return fmt.Appendf(nil, "%08x ", h.Sum32())
 }
 
-// Output is the answer of a plain service to a request.
+// Output is the response of a plain service to a request.
 func Output(id string, input []byte) []byte { return fmt.Appendf(nil, "ok %s %d", id, len(input)) }
 
-// admit refuses orders that are not to begin.
+// admit rejects a request by the switches, or if one with a later fence was seen.
 func (t *Target) admit(id string, fence uint64) error {
 	if t.Switches.Get("leaving") != 0 {
 		return connect.NewError(connect.CodeUnavailable, errors.New("leaving"))
@@ -91,14 +92,14 @@
 	return nil
 }
 
-// waiter is an order in the queue.
+// waiter is a queued request.
 type waiter struct {
 	priority uint32
 	got      chan struct{}
 }
 
-// enter waits for a slot, larger priorities first; leave gives it back.
-func (t *Target) enter(ctx context.Context, priority uint32) error {
+// acquireSlot waits for a slot, larger priorities first. The caller must return it by releaseSlot.
+func (t *Target) acquireSlot(ctx context.Context, priority uint32) error {
 	t.mu.Lock()
 	if t.running < t.slots {
 		t.running++
@@ -119,18 +120,18 @@
 		t.queue = slices.Delete(t.queue, i, i+1)
 		return ctx.Err()
 	}
-	t.next() // the slot came too late
+	t.passSlot() // the slot was assigned as ctx ended
 	return ctx.Err()
 }
 
-func (t *Target) leave() {
+func (t *Target) releaseSlot() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.next()
+	t.passSlot()
 }
 
-// next hands a slot to whoever is first in the queue; t.mu is held.
-func (t *Target) next() {
+// passSlot passes a free slot to the first waiter of the largest priority. The caller holds t.mu.
+func (t *Target) passSlot() {
 	if len(t.queue) == 0 {
 		t.running--
 		return
@@ -145,7 +146,7 @@
 	t.queue = slices.Delete(t.queue, first, first+1)
 }
 
-// register makes an order cancellable by its request id.
+// register makes a request cancellable by its id until the returned function is called.
 func (t *Target) register(ctx context.Context, id string) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	t.mu.Lock()
@@ -167,7 +168,7 @@
 	}
 }
 
-// Generate streams tokens from resume_from on.
+// Generate streams the tokens from resume_from on.
 func (t *Target) Generate(ctx context.Context, req *connect.Request[platformv1.GenerateRequest], out *connect.ServerStream[platformv1.GenerateResponse]) error {
 	r := req.Msg
 	if err := t.admit(r.RequestId, r.Fence); err != nil {
@@ -175,10 +176,10 @@
 	}
 	ctx, done := t.register(ctx, r.RequestId)
 	defer done()
-	if err := t.enter(ctx, r.Priority); err != nil {
+	if err := t.acquireSlot(ctx, r.Priority); err != nil {
 		return err
 	}
-	defer t.leave()
+	defer t.releaseSlot()
 	prompt := uint32(len(r.Prompt)+bytesPerToken-1) / bytesPerToken
 	run := t.Book.Begin(r.RequestId, r.Account, r.ResumeFrom, prompt)
 	defer t.Book.Done(run)
@@ -188,7 +189,7 @@
 	return g.stream(ctx)
 }
 
-// generation is one stream.
+// generation is one stream of tokens.
 type generation struct {
 	target *Target
 	req    *platformv1.GenerateRequest
@@ -230,17 +231,17 @@
 	return g.out.Send(&platformv1.GenerateResponse{RequestId: id, Index: max(r.MaxTokens, r.ResumeFrom), End: true, PromptTokens: g.prompt})
 }
 
-// Invoke is a call of a plain service: it acts, uses one token, and answers.
-// What it began it finishes, whether the caller waits or not.
+// Invoke is a call of a plain service, which uses one token. A call that has begun
+// is completed even if the caller has gone.
 func (t *Target) Invoke(ctx context.Context, req *connect.Request[platformv1.InvokeRequest]) (*connect.Response[platformv1.InvokeResponse], error) {
 	r := req.Msg
 	if err := t.admit(r.RequestId, r.Fence); err != nil {
 		return nil, err
 	}
-	if err := t.enter(ctx, 0); err != nil {
+	if err := t.acquireSlot(ctx, 0); err != nil {
 		return nil, err
 	}
-	defer t.leave()
+	defer t.releaseSlot()
 	run := t.Book.Begin(r.RequestId, r.Account, 0, 1)
 	wait.For(context.WithoutCancel(ctx), t.perToken+time.Duration(t.Switches.Get("slow"))*time.Millisecond)
 	t.Book.Done(run)
@@ -259,7 +260,7 @@
 	return connect.NewResponse(&platformv1.InvokeResponse{RequestId: id, Output: Output(id, r.Input), Tokens: 1}), nil
 }
 
-// Cancel stops a request's streams and says what the request used.
+// Cancel stops the streams of a request and returns the tokens that it used.
 func (t *Target) Cancel(_ context.Context, req *connect.Request[platformv1.CancelRequest]) (*connect.Response[platformv1.CancelResponse], error) {
 	t.mu.Lock()
 	for _, cancel := range t.cancels[req.Msg.RequestId] {
@@ -270,7 +271,7 @@
 	return connect.NewResponse(&platformv1.CancelResponse{Known: known, Tokens: tokens}), nil
 }
 
-// Load reports the load as of some time ago.
+// Load returns the load as of up to reportLag ago.
 func (t *Target) Load(context.Context, *connect.Request[platformv1.LoadRequest]) (*connect.Response[platformv1.LoadResponse], error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -284,7 +285,7 @@
 	return connect.NewResponse(t.load), nil
 }
 
-// remember caches a prompt's prefix in a bounded memory.
+// remember adds the hash of a prompt's prefix to the last maxPrefixes ones.
 func (t *Target) remember(prompt []byte) {
 	if len(prompt) == 0 {
 		return
--- a/standin/thinlink/thinlink.go
+++ b/standin/thinlink/thinlink.go
@@ -1,5 +1,5 @@
-// Package thinlink stands in for the slow link of a host: a TCP proxy all of whose
-// connections share one rate towards the host. What the host sends is not held up.
+// Package thinlink simulates the slow link of a host with a TCP proxy whose
+// connections share one rate towards the host. Bytes from the host are not delayed.
 package thinlink
 
 import (
@@ -13,35 +13,35 @@
 // Link is one host's link.
 type Link struct {
 	perSecond float64       // bytes
-	queue     time.Duration // that bytes wait in beside their time on the link
+	queue     time.Duration // delay of each byte in addition to its transmission time
 
 	mu   sync.Mutex
-	free time.Time // when the bytes that were granted so far have crossed
-	sent int64     // bytes so far
+	free time.Time // when the bytes scheduled so far have been transmitted
+	sent int64     // bytes scheduled so far
 }
 
-// New makes a link that carries so many bytes a second.
+// New returns a link with the given bandwidth.
 func New(bytesPerSecond float64) *Link { return &Link{perSecond: bytesPerSecond} }
 
-// Queued makes a link on which other traffic holds each byte up for so long.
+// Queued returns a link on which other traffic delays each byte by queue.
 func Queued(bytesPerSecond float64, queue time.Duration) *Link {
 	return &Link{perSecond: bytesPerSecond, queue: queue}
 }
 
-// Sent counts the bytes that crossed the link so far.
+// Sent is the number of bytes sent towards the host so far.
 func (l *Link) Sent() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent
 }
 
-// To gives an address at which another one is reached over the link, until the test ends.
+// To returns an address that forwards to the given one over the link until the test ends.
 func (l *Link) To(t testing.TB, address string) string {
 	t.Helper()
 	return faultlink.Open(t, faultlink.Options{Listen: "127.0.0.1:0", To: address, Arrive: l.send}).Address()
 }
 
-// send counts bytes and says when they arrive, behind those before them.
+// send schedules bytes behind those sent before and returns when they arrive.
 func (l *Link) send(bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/toggle/toggle.go
+++ b/standin/toggle/toggle.go
@@ -1,4 +1,4 @@
-// Package toggle holds the switches of a stand-in, set over HTTP with
+// Package toggle holds the named switches of a stand-in, which are set over HTTP by
 // /switch?NAME=NUMBER.
 package toggle
 
@@ -9,13 +9,13 @@
 	"sync"
 )
 
-// Set is the switches of one stand-in, all 0 at first.
+// Set holds the switches of one stand-in, initially all 0.
 type Set struct {
 	mu     sync.Mutex
 	values map[string]int
 }
 
-// New makes switches with these names.
+// New returns a set of switches with these names.
 func New(names ...string) *Set {
 	s := &Set{values: map[string]int{}}
 	for _, n := range names {
@@ -24,14 +24,14 @@
 	return s
 }
 
-// Get reads a switch.
+// Get returns the value of a switch.
 func (s *Set) Get(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.values[name]
 }
 
-// Take counts a switch down and says whether it was above 0.
+// Take decrements a switch that is above 0 and reports whether it was.
 func (s *Set) Take(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	return true
 }
 
-// ServeHTTP sets the switches that the query names.
+// ServeHTTP sets the switches named in the query.
 func (s *Set) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/until/until.go
+++ b/standin/until/until.go
@@ -1,4 +1,4 @@
-// Package until waits in tests for what happens on other goroutines.
+// Package until lets tests wait for conditions that other goroutines bring about.
 package until
 
 import (
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Limits of a wait.
+// Poll interval and timeout.
 const (
 	pause = 5 * time.Millisecond
 	limit = 10 * time.Second
 )
 
-// True waits until a condition holds and fails the test if it does not in time.
+// True polls until ok returns true, and fails the test if it doesn't within limit.
 func True(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pause) {
@@ -20,5 +20,5 @@
 			return
 		}
 	}
-	t.Fatalf("not so after %v: %s", limit, what)
+	t.Fatalf("condition not met within %v: %s", limit, what)
 }
