--- a/bench/measure/refusals.go
+++ b/bench/measure/refusals.go
@@ -104,7 +104,7 @@
 			id := fmt.Sprint("r-", n)
 			o := c.Send(context.Background(), caller.Request{
 				Key: fleetKey, ID: id, Class: "chat", Input: []byte("a question"), MaxTokens: stormTokens,
-				Silence: 4 * time.Second, Patience: 5 * time.Second, First: n, Once: true,
+				IdleTimeout: 4 * time.Second, Timeout: 5 * time.Second, First: n, Once: true,
 			})
 			mu.Lock()
 			defer mu.Unlock()
--- a/bench/measure/running.go
+++ b/bench/measure/running.go
@@ -49,7 +49,7 @@
 			for n := 0; time.Now().Before(end); n++ {
 				o := c.Send(context.Background(), caller.Request{
 					Key: fleetKey, ID: fmt.Sprintf("%s-%d-%d", name, w, n), Class: class, Input: []byte("a question of some length, as callers send it"),
-					MaxTokens: tokens, Silence: 10 * time.Second, Patience: 20 * time.Second,
+					MaxTokens: tokens, IdleTimeout: 10 * time.Second, Timeout: 20 * time.Second,
 				})
 				mu.Lock()
 				if o.Whole {
@@ -193,7 +193,7 @@
 			var wg sync.WaitGroup
 			for i := range n {
 				wg.Go(func() {
-					c.Send(ctx, caller.Request{Key: fleetKey, ID: fmt.Sprint("open-", i), Class: "chat", Input: []byte("open"), MaxTokens: 400, Silence: time.Minute, Patience: time.Minute})
+					c.Send(ctx, caller.Request{Key: fleetKey, ID: fmt.Sprint("open-", i), Class: "chat", Input: []byte("open"), MaxTokens: 400, IdleTimeout: time.Minute, Timeout: time.Minute})
 				})
 			}
 			time.Sleep(4 * time.Second)
@@ -266,7 +266,7 @@
 func viaFleet(c *caller.Caller, l *Latency, mu *sync.Mutex, id string, first int) {
 	o := c.Send(context.Background(), caller.Request{
 		Key: fleetKey, ID: id, Class: "chat", Input: []byte("a question"), MaxTokens: compareTokens,
-		Silence: 10 * time.Second, Patience: 30 * time.Second, First: first,
+		IdleTimeout: 10 * time.Second, Timeout: 30 * time.Second, First: first,
 	})
 	l.record(mu, o.FirstToken, o.Gaps)
 }
--- a/load/caller/caller.go
+++ b/load/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a caller that behaves as the users' callers do: it sends a
-// request through one host, and tries again with the same id through another
-// when it is told to come back or hears nothing.
+// Package caller simulates a caller: it sends a request to one host, and retries it
+// with the same id on another host if the first one asks for a retry, breaks the
+// connection or stays silent.
 package caller
 
 import (
@@ -17,40 +17,40 @@
 	"maststage.dev/lib/failure"
 )
 
-// Request is what a caller wants.
+// Request is one request of a caller and how long to try it.
 type Request struct {
 	Key, ID, Class string
 	Input          []byte
 	MaxTokens      uint32
-	Silence        time.Duration // without a message, after which it asks elsewhere
-	Patience       time.Duration // in all
-	Once           bool          // sends it once only
-	First          int           // number of the first host to ask
+	IdleTimeout    time.Duration // time without a message after which to retry on another host
+	Timeout        time.Duration // for all attempts together
+	Once           bool          // don't retry
+	First          int           // index of the first host to try, modulo the number of hosts
 }
 
-// Outcome is what a caller ends up with.
+// Outcome is the result of a request as the caller saw it.
 type Outcome struct {
 	Request    Request
 	Data       []byte
 	Chunks     uint32
 	Whole      bool
 	Billed     uint64
-	Kind       string // of the last error
-	Ran        string // "yes", "no" or "unknown", as far as the caller was told
-	Tries      int
-	Cut        int    // tries that broke after they were sent
-	CutBy      string // what broke the last of them, and through which host
+	Kind       string // kind of the last error
+	Ran        string // "yes", "no" or "unknown", as reported to the caller
+	Attempts   int
+	Cut        int    // attempts that broke after the request was sent
+	CutBy      string // host and error of the last of them
 	Start      time.Time
 	FirstToken time.Duration
 	Gaps       []time.Duration
 	Took       time.Duration
-	Broken     string // what is wrong with the answer itself, empty: nothing
+	Broken     string // what is wrong with the response itself; empty: nothing
 }
 
-// Kinds of outcome that are not the fleet's.
+// Kinds of outcome that the caller itself determines.
 const (
-	Lost  = "lost"  // the connection broke, or nothing came in time
-	Moved = "moved" // the host is stopping and said so
+	Lost  = "lost"  // the connection broke, or no message arrived in time
+	Moved = "moved" // the host is shutting down and asked to retry elsewhere
 )
 
 var errMoved = errors.New("moved to another host")
@@ -60,7 +60,7 @@
 	clients []maststagev1connect.CallerClient
 }
 
-// New makes a caller of hosts, given by IP:port.
+// New returns a caller of the hosts at these addresses (IP:port).
 func New(hosts []string) *Caller {
 	web := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 	c := &Caller{}
@@ -71,30 +71,30 @@
 }
 
 const (
-	againMin = 20 * time.Millisecond
-	againMax = 2 * time.Second
+	retryMin = 20 * time.Millisecond
+	retryMax = 2 * time.Second
 )
 
-// Send gets a request answered.
+// Send sends a request, retrying it until it has an outcome or its time is up.
 func (c *Caller) Send(ctx context.Context, r Request) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, r.Patience)
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	o := &Outcome{Request: r, Ran: "no", Start: time.Now()}
-	c.follow(ctx, o)
+	c.retry(ctx, o)
 	o.Took = time.Since(o.Start)
 	return *o
 }
 
-// follow asks one host after another until there is an answer or no patience.
-func (c *Caller) follow(ctx context.Context, o *Outcome) {
+// retry tries one host after another until the request has an outcome or ctx is done.
+func (c *Caller) retry(ctx context.Context, o *Outcome) {
 	r := o.Request
 	for i := r.First; ; i++ {
-		o.Tries++
-		err := c.try(ctx, c.clients[i%len(c.clients)], o)
+		o.Attempts++
+		err := c.attempt(ctx, c.clients[i%len(c.clients)], o)
 		if o.Whole || o.Broken != "" {
 			return
 		}
-		after, again := o.take(err, i%len(c.clients))
+		after, again := o.recordFailure(err, i%len(c.clients))
 		if !again || r.Once {
 			return
 		}
@@ -108,9 +108,9 @@
 	}
 }
 
-// take learns from a failure and says whether and when to try again.
-func (o *Outcome) take(err error, host int) (after time.Duration, again bool) {
-	kind, ran, after := told(err)
+// recordFailure updates the outcome after a failed attempt and returns whether and when to retry.
+func (o *Outcome) recordFailure(err error, host int) (after time.Duration, again bool) {
+	kind, ran, after := classify(err)
 	o.Kind = kind
 	if ran != "no" {
 		o.Ran = "unknown"
@@ -119,9 +119,9 @@
 	case kind == Lost && ran != "no":
 		o.Cut++
 		o.CutBy = fmt.Sprintf("host %d: %v", host, err)
-		return againMin, true
+		return retryMin, true
 	case kind == Lost || kind == Moved:
-		return againMin, true
+		return retryMin, true
 	}
 	if ran == "yes" {
 		o.Ran = "yes"
@@ -129,11 +129,11 @@
 	if after == 0 {
 		return 0, false
 	}
-	return min(max(after, againMin), againMax), true
+	return min(max(after, retryMin), retryMax), true
 }
 
-// told gives what a host's error says, or that none answered.
-func told(err error) (kind, ran string, after time.Duration) {
+// classify returns what a host's error reports, or Lost if no host sent it.
+func classify(err error) (kind, ran string, after time.Duration) {
 	if errors.Is(err, errMoved) {
 		return Moved, "unknown", 0
 	}
@@ -146,11 +146,11 @@
 	return Lost, "unknown", 0
 }
 
-// try asks one host; what came before the stream broke is kept.
-func (c *Caller) try(ctx context.Context, client maststagev1connect.CallerClient, o *Outcome) error {
+// attempt makes one attempt on a host. Chunks received before the stream broke are kept.
+func (c *Caller) attempt(ctx context.Context, client maststagev1connect.CallerClient, o *Outcome) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(o.Request.Silence, cancel)
+	silence := time.AfterFunc(o.Request.IdleTimeout, cancel)
 	defer silence.Stop()
 	attempt := uint32(1)
 	if o.Ran != "no" {
@@ -169,7 +169,7 @@
 	defer s.Close()
 	last := time.Now()
 	for s.Receive() {
-		silence.Reset(r.Silence)
+		silence.Reset(r.IdleTimeout)
 		if s.Msg().Moved {
 			return errMoved
 		}
@@ -180,7 +180,7 @@
 	if err := s.Err(); err != nil {
 		return err
 	}
-	return errors.New("the stream ended without its end")
+	return errors.New("the stream ended without an end mark")
 }
 
 func (o *Outcome) message(m *maststagev1.RunResponse, last *time.Time) (done bool) {
--- a/load/caller/dial.go
+++ b/load/caller/dial.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// dialFailed says whether nothing was sent at all.
+// dialFailed reports whether the connection failed before anything was sent.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/load/cmd/mastload/main.go
+++ b/load/cmd/mastload/main.go
@@ -1,6 +1,6 @@
 // Mastload sends the two users' mixes of requests to a fleet at a steady rate,
-// as callers who try again through another host, and holds what they were told
-// against the records of the stand-ins.
+// with retries on other hosts, and compares the outcomes with the records of the
+// stand-ins.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	"maststage.dev/load/verdict"
 )
 
-// options are the flags.
+// options holds the flags.
 type options struct {
 	hosts, targets, log, keys, declarations string
 	mix                                     string
@@ -33,15 +33,15 @@
 
 func main() {
 	var o options
-	flag.StringVar(&o.hosts, "hosts", "", "hosts for callers, IP:port,IP:port")
-	flag.StringVar(&o.targets, "targets", "", "stand-ins of targets, IP:port,IP:port")
-	flag.StringVar(&o.log, "log", "", "stand-in of the log, IP:port")
+	flag.StringVar(&o.hosts, "hosts", "", "addresses of the hosts, IP:port,IP:port")
+	flag.StringVar(&o.targets, "targets", "", "addresses of the simulated targets, IP:port,IP:port")
+	flag.StringVar(&o.log, "log", "", "address of the simulated log, IP:port")
 	flag.StringVar(&o.keys, "keys", "", "keys of organisations, NAME=KEY,NAME=KEY")
-	flag.StringVar(&o.declarations, "declarations", "", "file in force, for the budgets")
-	flag.StringVar(&o.mix, "mix", "petfood,examora", "mixes to send")
+	flag.StringVar(&o.declarations, "declarations", "", "file with the configuration in force, for the budgets")
+	flag.StringVar(&o.mix, "mix", "petfood,examora", "mixes to send, separated by commas")
 	flag.DurationVar(&o.length, "for", 20*time.Second, "how long to send")
-	flag.Float64Var(&o.rate, "rate", 1, "factor on the rates of the mixes")
-	flag.Uint64Var(&o.seed, "seed", 1, "seed of the inputs")
+	flag.Float64Var(&o.rate, "rate", 1, "factor applied to the rates of the mixes")
+	flag.Uint64Var(&o.seed, "seed", 1, "seed of the random inputs")
 	flag.Parse()
 	violations, err := load(o)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// sender keeps what the callers were told.
+// sender sends the requests and collects their outcomes.
 type sender struct {
 	opts   options
 	keys   map[string]string
@@ -67,7 +67,7 @@
 	wg    sync.WaitGroup
 }
 
-// stats are the latencies of a class, in microseconds.
+// stats holds the latencies, in microseconds, and the outcomes of a class.
 type stats struct {
 	first, gap, whole *hdr.Histogram
 	done, failed      int
@@ -110,14 +110,14 @@
 	return s.judge(totals)
 }
 
-// send runs all kinds of work of the mixes side by side.
+// send sends all kinds of requests of the mixes concurrently and waits for their outcomes.
 func (s *sender) send() error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.length)
 	defer cancel()
 	for name := range strings.SplitSeq(s.opts.mix, ",") {
 		mix := mixes[name]
 		if mix == nil {
-			return fmt.Errorf("no mix %q", name)
+			return fmt.Errorf("unknown mix %q", name)
 		}
 		for _, k := range mix {
 			if s.keys[k.org] == "" {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// drive sends one kind of work at its rate, whether answers come or not.
+// drive sends one kind of request at its rate, whether or not earlier ones were answered.
 func (s *sender) drive(ctx context.Context, k kind) {
 	r := rand.New(rand.NewPCG(s.opts.seed, uint64(len(k.class))))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / (k.perSec * s.opts.rate)))
@@ -140,7 +140,7 @@
 		id := fmt.Sprintf("%s-%s-%d", s.prefix, k.class, n)
 		input := k.text(r)
 		first := r.IntN(1 << 16)
-		s.wg.Go(func() { s.one(k, id, input, first) })
+		s.wg.Go(func() { s.sendOne(k, id, input, first) })
 		select {
 		case <-ctx.Done():
 			return
@@ -149,20 +149,20 @@
 	}
 }
 
-func (s *sender) one(k kind, id string, input []byte, first int) {
+func (s *sender) sendOne(k kind, id string, input []byte, first int) {
 	out := s.caller.Send(context.Background(), caller.Request{
 		Key: s.keys[k.org], ID: id, Class: k.class, Input: input, MaxTokens: k.tokens,
-		Silence: k.silence, Patience: k.patience, First: first,
+		IdleTimeout: k.idleTimeout, Timeout: k.timeout, First: first,
 	})
 	full := k.org + "/" + id
 	c := verdict.Case{Outcome: out, FullID: full, Single: k.once, Want: k.want(full, input), Account: s.budget[k.org], Need: k.need()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cases = append(s.cases, c)
-	s.stats[k.class].take(out)
+	s.stats[k.class].record(out)
 }
 
-func (t *stats) take(o caller.Outcome) {
+func (t *stats) record(o caller.Outcome) {
 	if !o.Whole {
 		t.failed++
 		t.kinds[o.Kind]++
@@ -176,7 +176,7 @@
 	}
 }
 
-// print shows the latencies of each class.
+// print prints the latencies and failures of each class.
 func (s *sender) print() {
 	var classes []string
 	for c := range s.stats {
@@ -200,11 +200,11 @@
 }
 
 const (
-	billWait = 8 * time.Second // for the last bills to get into the log
+	billWait = 8 * time.Second // maximum wait for the last bills to reach the log
 	billPoll = 300 * time.Millisecond
 )
 
-// judge prints the verdict; it waits for the last bills.
+// judge waits for the last bills, prints the verdict and returns the number of violations.
 func (s *sender) judge(totals map[string]uint64) (int, error) {
 	end := time.Now().Add(billWait)
 	for {
--- a/load/verdict/verdict.go
+++ b/load/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict holds what callers were told against what the targets and
-// the log say. It shares no code with the fleet's accounting.
+// Package verdict compares the outcomes that callers saw with the records of the targets
+// and the log. It shares no code with the fleet's accounting.
 package verdict
 
 import (
@@ -19,7 +19,7 @@
 	"maststage.dev/load/caller"
 )
 
-// Run is an order in a target's own record.
+// Run is one run of a request in a target's own record.
 type Run struct {
 	RequestID string // ORGANISATION/ID
 	Account   string // the budget
@@ -27,7 +27,7 @@
 	Start     time.Time
 }
 
-// Runs reads the records of targets, given by IP:port.
+// Runs reads the runs recorded by the targets at these addresses (IP:port).
 func Runs(targets []string) ([]Run, error) {
 	var all []Run
 	for _, addr := range targets {
@@ -54,7 +54,7 @@
 
 const readMax = 1000
 
-// Bills reads the first bill of each request out of the platform's log.
+// Bills reads the first bill of each request from the platform's log at an address (IP:port).
 func Bills(ctx context.Context, log string) (map[string]Bill, error) {
 	c := platformv1connect.NewLogClient(http.DefaultClient, "http://"+log)
 	bills := map[string]Bill{}
@@ -89,35 +89,35 @@
 	}
 }
 
-// Case is one request with what an oracle knows of it.
+// Case is one request, its outcome, and what is expected of it.
 type Case struct {
 	Outcome caller.Outcome
 	FullID  string // ORGANISATION/ID
-	Single  bool   // may not be repeated
-	Want    []byte // the right answer
-	Account string // its budget
-	Need    uint64 // tokens of it that it may take at most
+	Single  bool   // must not run twice
+	Want    []byte // the expected response
+	Account string // the budget that it draws on
+	Need    uint64 // maximum number of tokens that it may take from its budget
 }
 
-// Count is the verdict.
+// Count is the verdict: the number of requests by outcome and of violations by kind.
 type Count struct {
 	Requests, Whole, Refused, Unknown int
-	Doubled                           int    // requests that may not be repeated and ran twice
-	Overspend                         uint64 // tokens used beyond a budget
-	LostBills                         int    // whole answers without a bill
-	WrongBills                        int    // whole answers with another bill than the caller was told
-	Partial                           int    // answers called whole that are cut, crossed or wrong
-	FalseNotRun                       int    // "not run" of a request that was run
-	FalseRefusals                     int    // refused for the budget though it had enough left
+	Doubled                           int    // requests that must not run twice, but did
+	Overspend                         uint64 // tokens used beyond their budget
+	LostBills                         int    // whole responses without a bill
+	WrongBills                        int    // whole responses whose bill differs from what was reported to the caller
+	Partial                           int    // responses reported as whole that are truncated, another request's or wrong
+	FalseNotRun                       int    // requests that ran, though reported as not run
+	FalseRefusals                     int    // refused for the budget though enough was left
 	Examples                          []string
 }
 
-// Violations is what must be 0. False refusals are measured, not forbidden.
+// Violations is the number of violations, which must be 0. False refusals aren't counted: they are only measured.
 func (c *Count) Violations() int {
 	return c.Doubled + int(min(c.Overspend, 1<<30)) + c.LostBills + c.WrongBills + c.Partial + c.FalseNotRun
 }
 
-// String is the verdict in one line.
+// String formats the verdict in one line.
 func (c *Count) String() string {
 	return fmt.Sprintf("requests=%d whole=%d refused=%d unknown=%d doubled=%d overspend=%d lostbills=%d partial=%d falsenotrun=%d falserefusals=%d violations=%d",
 		c.Requests, c.Whole, c.Refused, c.Unknown, c.Doubled, c.Overspend, c.LostBills+c.WrongBills, c.Partial, c.FalseNotRun, c.FalseRefusals, c.Violations())
@@ -131,7 +131,7 @@
 	}
 }
 
-// Judge counts. totals are the tokens of each budget.
+// Judge compares the cases with the runs and bills. totals are the tokens of each budget.
 func Judge(cases []Case, runs []Run, bills map[string]Bill, totals map[string]uint64) *Count {
 	c := &Count{Requests: len(cases)}
 	ran := map[string]int{}
@@ -147,14 +147,14 @@
 		}
 	}
 	for _, k := range cases {
-		c.one(k, ran[k.FullID], bills)
+		c.judgeCase(k, ran[k.FullID], bills)
 	}
 	c.FalseRefusals = falseRefusals(cases, runs, totals)
 	return c
 }
 
-// falseRefusals counts requests refused for the budget at a time when the
-// targets had used, in all runs begun by then, so little that it had enough left.
+// falseRefusals counts requests refused for the budget although the tokens used by
+// all runs that had started by the time of the refusal left enough in the budget.
 func falseRefusals(cases []Case, runs []Run, totals map[string]uint64) int {
 	slices.SortFunc(runs, func(a, b Run) int { return a.Start.Compare(b.Start) })
 	refused := make([]Case, 0, len(cases))
@@ -179,37 +179,37 @@
 	return n
 }
 
-// budgetKind is what the fleet calls a refusal for the budget.
+// budgetKind is the fleet's kind of a refusal for the budget.
 const budgetKind = "budget"
 
-func (c *Count) one(k Case, ran int, bills map[string]Bill) {
+func (c *Count) judgeCase(k Case, ran int, bills map[string]Bill) {
 	o := k.Outcome
 	if k.Single && ran > 1 {
 		c.Doubled++
-		c.example("%s ran %d times", k.FullID, ran)
+		c.example("%s must not run twice, but ran %d times", k.FullID, ran)
 	}
 	switch {
 	case o.Broken != "":
 		c.Partial++
 		c.example("%s: %s", k.FullID, o.Broken)
 	case o.Whole:
-		c.whole(k, bills)
+		c.judgeWhole(k, bills)
 	case o.Ran == "no":
 		c.Refused++
 		if ran > 0 {
 			c.FalseNotRun++
-			c.example("%s: called not run (%s), ran %d times", k.FullID, o.Kind, ran)
+			c.example("%s: reported as not run (%s), but ran %d times", k.FullID, o.Kind, ran)
 		}
 	default:
 		c.Unknown++
 	}
 }
 
-func (c *Count) whole(k Case, bills map[string]Bill) {
+func (c *Count) judgeWhole(k Case, bills map[string]Bill) {
 	c.Whole++
 	if string(k.Outcome.Data) != string(k.Want) {
 		c.Partial++
-		c.example("%s: %d bytes, not the %d right ones", k.FullID, len(k.Outcome.Data), len(k.Want))
+		c.example("%s: wrong response of %d bytes, want %d bytes", k.FullID, len(k.Outcome.Data), len(k.Want))
 	}
 	b, ok := bills[k.FullID]
 	switch {
@@ -218,6 +218,6 @@
 		c.example("%s: no bill", k.FullID)
 	case b.Tokens != k.Outcome.Billed:
 		c.WrongBills++
-		c.example("%s: billed %d, the caller was told %d", k.FullID, b.Tokens, k.Outcome.Billed)
+		c.example("%s: billed %d, but reported %d to the caller", k.FullID, b.Tokens, k.Outcome.Billed)
 	}
 }
--- a/proofs/storm_test.go
+++ b/proofs/storm_test.go
@@ -82,7 +82,7 @@
 	input := []byte("input of " + id)
 	o := c.Send(context.Background(), caller.Request{
 		Key: key, ID: id, Class: s.class, Input: input, MaxTokens: s.tokens,
-		Silence: s.silence, Patience: s.patience, First: n, Once: s.once,
+		IdleTimeout: s.silence, Timeout: s.patience, First: n, Once: s.once,
 	})
 	k := verdict.Case{Outcome: o, FullID: "org/" + id, Single: s.class == "save", Want: want(s.class, id, input, s.tokens), Account: account, Need: uint64(s.tokens) + 50}
 	s.mu.Lock()
