--- a/bench/capacity/model.go
+++ b/bench/capacity/model.go
@@ -1,10 +1,10 @@
-// Package capacity is the arithmetic of docs/CAPACITY.md: measured slopes in,
-// what each host does, holds and sends at a given size out.
+// Package capacity is the capacity model of docs/CAPACITY.md: from measured costs it
+// computes the work, state and traffic of each host for a fleet of a given size.
 package capacity
 
 import "maststage.dev/bench/measure"
 
-// Size is a fleet and its load.
+// Size describes a fleet and its load.
 type Size struct {
 	Name         string
 	Hosts        int
@@ -13,48 +13,48 @@
 	Targets      int
 	Budgets      int
 	Orgs         int
-	Requests     float64 // a second, at the peak
-	Tokens       float64 // a second, at the peak
-	OnceShare    float64 // of the requests may not be repeated
-	Changes      float64 // of configuration a day
-	Deaths       float64 // of hosts a day
-	Replacements float64 // of hosts a day
+	Requests     float64 // per second, at the peak
+	Tokens       float64 // per second, at the peak
+	OnceShare    float64 // share of the requests that must not run twice
+	Changes      float64 // of the configuration, per day
+	Deaths       float64 // of hosts, per day
+	Replacements float64 // of hosts, per day
 }
 
-// Today's sizes are the brief's; it gives no rates, those are assumed. Target is
-// the letter's.
+// PetFood and Examora are the users' fleets of today. Their sizes are given; no rates
+// are given, so those are assumed. Target is the size that is required.
 var (
 	PetFood = Size{Name: "pet food today", Hosts: 8, Regions: 1, Domains: 3, Targets: 23, Budgets: 10, Orgs: 10, Requests: 40, Tokens: 4000, OnceShare: 0.3, Changes: 20, Deaths: 0.1, Replacements: 8}
 	Examora = Size{Name: "Examora today", Hosts: 8, Regions: 1, Domains: 4, Targets: 16, Budgets: 10, Orgs: 10, Requests: 60, Tokens: 3000, OnceShare: 0.4, Changes: 20, Deaths: 0.1, Replacements: 8}
 	Target  = Size{Name: "target", Hosts: 400, Regions: 7, Domains: 18, Targets: 12000, Budgets: 12000, Orgs: 670, Requests: 8400, Tokens: 3e6, OnceShare: 0.3, Changes: 9700, Deaths: 74, Replacements: 1000}
 )
 
-// Limits of the letter, for control at each host.
+// Required limits, for the control work of each host.
 const (
 	LimitCPU     = 1.2    // % of a core
 	LimitMemory  = 256e6  // bytes
-	LimitBytes   = 5000.0 // a second
-	LimitAppends = 100.0  // a second, all hosts
+	LimitBytes   = 5000.0 // per second
+	LimitAppends = 100.0  // per second, all hosts
 	LimitConfig  = 12.0   // seconds
 )
 
-// Settings that the arithmetic uses; those of the default file.
+// Settings that the model uses, as in the default settings file.
 const (
 	pingsPerSecond   = 2.0
 	settlesPerSecond = 2.0
-	appendInterval   = 0.08
+	appendInterval   = 0.08    // s
 	horizon          = 200_000 // facts kept
-	loadsPerSecond   = 2.0     // load reports of a target
-	plannedLoads     = 0.1     // the same in the plan, where the answers of targets carry it too
-	day              = 86400.0
-	sliceNow         = 60.0  // s of demand in a slice
-	relayBatch       = 100.0 // batches in a relay call that was measured
-	groupHosts       = 8.0   // hosts of an ownership group, in the plan
-	sliceSeconds     = 600.0 // of a slice, in the plan
-	packedBill       = 12.0  // bytes: 8 of a hashed id, 2 of tokens, 2 of frame
+	loadsPerSecond   = 2.0     // load reports of each target
+	plannedLoads     = 0.1     // the same in the plan, where responses of targets carry the load too
+	day              = 86400.0 // s
+	sliceNow         = 60.0    // s of demand covered by an allocation
+	relayBatch       = 100.0   // batches in the measured relay call
+	groupHosts       = 8.0     // hosts in an ownership group, in the plan
+	sliceSeconds     = 600.0   // s between takes of an allocation, in the plan
+	packedBill       = 12.0    // bytes: 8 for a hashed id, 2 for tokens, 2 for framing
 )
 
-// Slopes are the measured inputs.
+// Slopes holds the measured inputs of the model.
 type Slopes struct {
 	Record      map[string]float64 // bytes by kind
 	FoldBill    measure.Slope
@@ -86,33 +86,33 @@
 	return 0, 0
 }
 
-// Role is one thing that a host does, at one size: rates are a second.
+// Role is one kind of work of a host, at one size. Rates are per second.
 type Role struct {
 	Name      string
-	Mechanism string // package, or what will carry it
-	State     float64
+	Mechanism string  // package, or the planned mechanism
+	State     float64 // bytes
 	Messages  float64
 	Bytes     float64
 	CPU       float64 // % of a core
-	Path      bool    // part of serving a request, not of control
+	Path      bool    // part of serving requests, not of control
 }
 
 func percent(ns float64) float64 { return ns / 1e9 * 100 }
 
-// Present is what a host of the present version does for control: every host
-// reads the whole log, and heartbeats go round its region.
+// Present returns the roles of a host in the present version, in which every host
+// reads the whole log and exchanges heartbeats with all hosts of its region.
 func Present(z Size, s Slopes) []Role {
 	perHost := z.Requests / float64(z.Hosts)
 	once := z.Requests * z.OnceShare
-	pairs := min(float64(z.Budgets), perHost*4) // budgets a host draws on at a time
+	pairs := min(float64(z.Budgets), perHost*4) // budgets that a host draws on at a time
 	inRegion := float64(z.Hosts)/float64(z.Regions) - 1
 	pingBytes, pingCPU := s.call("heartbeat")
 	claimBytes, claimCPU := s.call("claim")
 	holdBytes, holdCPU := s.call("bill held")
 	loadBytes, loadCPU := s.call("load report of a target")
 	_, relayCPU := s.call("relay of 100 batches of the log")
-	relayed := min(appends(z), LimitAppends)       // batches a second
-	views := (2*z.Deaths + 3*z.Replacements) / day // a death is an evict and a join, a replacement leaves, ends and joins
+	relayed := min(appends(z), LimitAppends)       // batches per second
+	views := (2*z.Deaths + 3*z.Replacements) / day // a death is an evict and a join; a replacement is a leave, an end and a join
 	settles := settlesPerSecond * pairs * float64(z.Hosts)
 	records := z.Requests + once + settles*1.2 + views*float64(z.Hosts)
 	logBytes := z.Requests*s.Record["bill"] + once*s.Record["intent"] + settles*(s.Record["settle"]+0.2*s.Record["take"]) + views*float64(z.Hosts)*s.Record["flushed"]
@@ -134,7 +134,7 @@
 	}
 }
 
-// appends is how many batches a second all hosts make.
+// appends is the number of batches per second that all hosts append.
 func appends(z Size) float64 {
 	return min(float64(z.Hosts)/appendInterval, float64(z.Hosts)*(z.Requests/float64(z.Hosts)+settlesPerSecond))
 }
@@ -143,10 +143,10 @@
 
 func horizonSeconds(z Size) float64 { return horizon / max(z.Requests, 1) }
 
-// Planned is the same with the mechanisms that are not built: ownership groups of
-// eight hosts over the domains of a region with a stream of facts each, budgets
-// in streams that only the hosts drawing on them read, packed bills, changes of
-// configuration as differences, and targets shared out in the group.
+// Planned returns the roles of a host with mechanisms that are not built yet: ownership
+// groups of eight hosts, spread over the failure domains of a region, with a stream of facts
+// for each group; budgets in streams read only by the hosts that draw on them; packed bills;
+// configuration changes sent as differences; and targets divided among the hosts of a group.
 func Planned(z Size, s Slopes) []Role {
 	groups := float64(z.Hosts) / groupHosts
 	perHost := z.Requests / float64(z.Hosts)
@@ -156,7 +156,7 @@
 	claimBytes, claimCPU := s.call("claim")
 	loadBytes, loadCPU := s.call("load report of a target")
 	_, relayCPU := s.call("relay of 100 batches of the log")
-	pairs := float64(z.Budgets) * float64(z.Regions) / groups // budget and group
+	pairs := float64(z.Budgets) * float64(z.Regions) / groups // of a budget and a group
 	takes := pairs / sliceSeconds
 	views := (2*z.Deaths + 3*z.Replacements) / day / groups
 	config := z.Changes / day
@@ -177,7 +177,7 @@
 	}
 }
 
-// Sum adds up the roles of control, or those of serving requests.
+// Sum adds up the roles of serving requests if path is true, else those of control.
 func Sum(roles []Role, path bool) Role {
 	t := Role{Name: "sum of control"}
 	if path {
--- a/bench/capacity/page.go
+++ b/bench/capacity/page.go
@@ -7,7 +7,7 @@
 	"maststage.dev/bench/measure"
 )
 
-// Page writes the generated part of docs/CAPACITY.md.
+// Page returns the generated part of docs/CAPACITY.md.
 func Page(s Slopes) string {
 	var b strings.Builder
 	s.writeSlopes(&b)
@@ -151,8 +151,8 @@
 	fmt.Fprintf(b, "- %d models are %d pools; a policy names the pool, so they cost an entry each in the configuration.\n", 39, 39)
 }
 
-// requestCost splits the processor time of requests of several sizes into that
-// of a request and that of a token, by the two ends.
+// requestCost splits the processor time of requests into a base cost and a cost per
+// token, from the first and the last measured size.
 func requestCost(ts []measure.Throughput) (base, perToken float64) {
 	first, last := ts[0], ts[len(ts)-1]
 	perToken = (last.CPU - first.CPU) / float64(last.Tokens-first.Tokens)
--- a/bench/cmd/mastbench/main.go
+++ b/bench/cmd/mastbench/main.go
@@ -1,5 +1,5 @@
-// Mastbench measures one host and a small fleet against the direct call to the
-// target, and writes the generated part of docs/MEASUREMENTS.md.
+// Mastbench measures one host and a small fleet, and compares the fleet with direct calls
+// to a target. It writes the generated part of docs/MEASUREMENTS.md.
 package main
 
 import (
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	page := flag.String("page", "", "page to write into, empty: print")
+	page := flag.String("page", "", "page to write the results into; empty: print only")
 	flag.Parse()
 	text, err := report()
 	if err == nil && *page != "" {
@@ -63,7 +63,7 @@
 	for i, n := range m.At {
 		fmt.Fprintf(&b, "| %d | %.1f KB |\n", n, m.Costs[i]/1000)
 	}
-	as, err := measure.Admit(2, 20, 200)
+	as, err := measure.MeasureAdmission(2, 20, 200)
 	if err != nil {
 		return "", err
 	}
--- a/bench/cmd/mastcapacity/main.go
+++ b/bench/cmd/mastcapacity/main.go
@@ -1,4 +1,4 @@
-// Mastcapacity measures the slopes and writes the generated part of
+// Mastcapacity measures costs at several sizes and writes the generated part of
 // docs/CAPACITY.md.
 package main
 
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	page := flag.String("page", "", "page to write into, empty: print")
+	page := flag.String("page", "", "page to write the results into; empty: print")
 	flag.Parse()
 	s, err := slopes()
 	if err == nil && *page != "" {
--- a/bench/cmd/mastrefusals/main.go
+++ b/bench/cmd/mastrefusals/main.go
@@ -1,6 +1,6 @@
-// Mastrefusals measures false refusals and overspend of our way to give out
-// budgets and of two baselines, and writes them into
-// docs/design/false-refusals.md.
+// Mastrefusals measures the false refusals and the overspend of several schemes of
+// allocating budgets to hosts: the fleet's own and baselines to compare it with. It
+// writes them into docs/design/false-refusals.md.
 package main
 
 import (
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	page := flag.String("page", "", "page to write into, empty: print only")
+	page := flag.String("page", "", "page to write the results into; empty: print only")
 	flag.Parse()
 	text, err := report()
 	if err == nil && *page != "" {
@@ -30,8 +30,8 @@
 	var b strings.Builder
 	for _, s := range measure.Scenarios {
 		fmt.Fprintf(&b, "\n**%s** (%d tokens)\n\n| budgets given out | requests | whole | false refusals | overspend | stranded | budget used |\n| --- | --- | --- | --- | --- | --- | --- |\n", s.Name, s.Budget)
-		for _, by := range measure.Slicings {
-			r, err := measure.Refuse(s, by)
+		for _, by := range measure.Schemes {
+			r, err := measure.RunScenario(s, by)
 			if err != nil {
 				return "", fmt.Errorf("%s, %s: %w", s.Name, by.Name, err)
 			}
--- a/bench/measure/admission.go
+++ b/bench/measure/admission.go
@@ -19,29 +19,29 @@
 	"maststage.dev/lib/declare"
 )
 
-// parts are fakes round one admission decision.
-type parts struct{}
+// fakes replaces the parts of a host that an admission decision calls.
+type fakes struct{}
 
-// Put drops records.
-func (parts) Put(...*peerv1.Record) error { return nil }
+// Put discards the records.
+func (fakes) Put(...*peerv1.Record) error { return nil }
 
-// Left is plenty.
-func (parts) Left(string) (int64, bool) { return plenty, true }
+// Left returns ample tokens.
+func (fakes) Left(string) (int64, bool) { return ampleTokens, true }
 
-// Sharers is one.
-func (parts) Sharers() int { return 1 }
+// Sharers returns 1.
+func (fakes) Sharers() int { return 1 }
 
-// Total is plenty.
-func (parts) Total(string) (uint64, bool) { return plenty, true }
+// Total returns ample tokens.
+func (fakes) Total(string) (uint64, bool) { return ampleTokens, true }
 
-// Borrow gets nothing.
-func (parts) Borrow(context.Context, string, uint64) uint64 { return 0 }
+// Borrow returns 0: no loan.
+func (fakes) Borrow(context.Context, string, uint64) uint64 { return 0 }
 
-// list is a membership list of n engines.
-type list int
+// engineList is a membership list of that many engines.
+type engineList int
 
-// List gives it.
-func (n list) List(context.Context, *connect.Request[platformv1.ListRequest]) (*connect.Response[platformv1.ListResponse], error) {
+// List returns the engines.
+func (n engineList) List(context.Context, *connect.Request[platformv1.ListRequest]) (*connect.Response[platformv1.ListResponse], error) {
 	res := &platformv1.ListResponse{}
 	for i := range n {
 		res.Members = append(res.Members, &platformv1.Member{
@@ -51,28 +51,28 @@
 	return connect.NewResponse(res), nil
 }
 
-// Admission is the cost of one decision by targets in the pool: policy, budget
-// and choice of a target.
+// Admission is the cost of one admission decision (policy, budget and choice of a
+// target) with a number of targets in the pool.
 type Admission struct {
 	Targets int
 	NS      float64
 	Allocs  int64
 }
 
-// Admit measures it.
-func Admit(sizes ...int) ([]Admission, error) {
-	set, err := declare.Parse(fleetDeclarations(plenty))
+// MeasureAdmission measures admission decisions with pools of several sizes.
+func MeasureAdmission(sizes ...int) ([]Admission, error) {
+	set, err := declare.Parse(fleetDeclarations(ampleTokens))
 	if err != nil {
 		return nil, err
 	}
 	var out []Admission
 	for _, n := range sizes {
-		reg := target.NewRegistry(settings.Targets{LoadInterval: time.Hour, Queue: 100, MaxEjected: 50, RetryBudget: 20}, "d", list(n), time.Hour, time.Second, http.DefaultClient)
+		reg := target.NewRegistry(settings.Targets{LoadInterval: time.Hour, Queue: 100, MaxEjected: 50, RetryBudget: 20}, "d", engineList(n), time.Hour, time.Second, http.DefaultClient)
 		ctx, cancel := context.WithCancel(context.Background())
 		go reg.Run(ctx)
-		time.Sleep(50 * time.Millisecond) // the list is read
-		l := ledger.New("inc", settings.Budgets{SliceSeconds: 5, MaxSlice: 1 << 30, LeftDivisor: 16, Wait: time.Second}, parts{}, parts{}, parts{}, func() bool { return true })
-		l.Event(fold.Granted{Incarnation: "inc", Budget: "main", Tokens: plenty})
+		time.Sleep(50 * time.Millisecond) // until the registry has read the list
+		l := ledger.New("inc", settings.Budgets{SliceSeconds: 5, MaxSlice: 1 << 30, LeftDivisor: 16, Wait: time.Second}, fakes{}, fakes{}, fakes{}, func() bool { return true })
+		l.Event(fold.Granted{Incarnation: "inc", Budget: "main", Tokens: ampleTokens})
 		r := testing.Benchmark(func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/bench/measure/declarations.go
+++ b/bench/measure/declarations.go
@@ -8,7 +8,7 @@
 	"maststage.dev/proofs/fleet"
 )
 
-// declarations has n organisations with a budget each, and a few policies.
+// declarations returns a configuration of n organisations with a budget each, and some policies.
 func declarations(n int) string {
 	var b strings.Builder
 	b.WriteString("[pool model]\nkind = engine\n")
@@ -27,12 +27,12 @@
 	fleetAccount = "org"
 )
 
-// marginDeclarations is fleetDeclarations with a margin for chats.
+// marginDeclarations is fleetDeclarations with a margin for the class chat.
 func marginDeclarations(tokens uint64, margin int) string {
 	return strings.Replace(fleetDeclarations(tokens), "MaxTokens(2000)", fmt.Sprintf("MaxTokens(2000).Margin(%d)", margin), 1)
 }
 
-// fleetDeclarations has one organisation for measuring a running fleet.
+// fleetDeclarations returns a configuration of one organisation, for measuring a running fleet.
 func fleetDeclarations(tokens uint64) string {
 	return fleet.Operators() + fmt.Sprintf(`[organisation %s]
 key_sha256 = %s
--- a/bench/measure/page.go
+++ b/bench/measure/page.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// Insert puts text between the marks of a name in a page:
+// Insert replaces the text of a page between the marks of a name:
 // <!-- begin NAME --> and <!-- end NAME -->.
 func Insert(path, name, text string) error {
 	page, err := os.ReadFile(path)
--- a/bench/measure/running.go
+++ b/bench/measure/running.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	plenty    = 1 << 40 // tokens
-	manySlots = 4096
-	// manyWorkers are enough that a lone host, whose bills wait for the log, is
-	// bound by its processor.
+	ampleTokens = 1 << 40 // tokens
+	manySlots   = 4096
+	// manyWorkers is enough for a lone host, whose bills wait for the log, to be
+	// limited by its processor.
 	manyWorkers = 512
 	settleTime  = 500 * time.Millisecond
 )
@@ -33,12 +33,12 @@
 	}
 }
 
-// oneCore is a fleet of n hosts that use one core each.
+// oneCore returns the options of a fleet of n hosts that use one core each.
 func oneCore(n int, each time.Duration) fleet.Options {
 	return fleet.Options{Hosts: n, Domains: min(n, 3), Targets: targets(each), Env: []string{"GOMAXPROCS=1"}, Settings: "[requests]\nkeep_answers = 1s\n"}
 }
 
-// closedLoop keeps workers busy with requests for a while.
+// closedLoop lets each worker send one request after another for d, and counts the whole responses.
 func closedLoop(f *fleet.Fleet, class, name string, tokens uint32, workers int, d time.Duration) (done int, err error) {
 	c := caller.New([]string{f.Hosts[0].Listen})
 	var mu sync.Mutex
@@ -65,17 +65,17 @@
 	return done, err
 }
 
-// Throughput is what one host on one core carries at the most.
+// Throughput is the maximum load of one host on one core.
 type Throughput struct {
-	Tokens   int // of each answer, 0: a call of a plain service
-	Requests float64
-	CPU      float64 // ns of the host for each request
+	Tokens   int     // of each response; 0: a call of a plain service
+	Requests float64 // per second
+	CPU      float64 // ns of the host per request
 }
 
-// PerRequest measures a lone host on one core under answers of several sizes.
+// PerRequest measures a lone host on one core with responses of several sizes.
 func PerRequest(sizes ...int) ([]Throughput, error) {
 	var out []Throughput
-	err := withFleet(oneCore(1, 0), plenty, func(f *fleet.Fleet) error {
+	err := withFleet(oneCore(1, 0), ampleTokens, func(f *fleet.Fleet) error {
 		if _, err := closedLoop(f, "chat", "warm", 20, 16, time.Second); err != nil {
 			return err
 		}
@@ -105,12 +105,12 @@
 	return out, err
 }
 
-// SaveCPU is the processor time of all hosts of a fleet of n for a save that may
-// not be repeated, in ns.
+// SaveCPU measures the processor time of all hosts of a fleet of n for a request that
+// must not run twice, in ns.
 func SaveCPU(sizes ...int) (Slope, error) {
 	s := Slope{Name: "processor time of all hosts for a save, by hosts", Unit: "ns", At: sizes}
 	for _, n := range sizes {
-		err := withFleet(oneCore(n, 0), plenty, func(f *fleet.Fleet) error {
+		err := withFleet(oneCore(n, 0), ampleTokens, func(f *fleet.Fleet) error {
 			if _, err := closedLoop(f, "save", "warm", 1, 16, time.Second); err != nil {
 				return err
 			}
@@ -145,14 +145,14 @@
 	return sum, nil
 }
 
-// Idle is a host without requests: its share of a core in percent, and its
-// resident memory in bytes, by hosts of the fleet.
+// Idle measures a host without requests: its share of a core in percent, and its
+// resident memory in bytes, by number of hosts in the fleet.
 func Idle(sizes ...int) (cpu, rss Slope, err error) {
 	cpu = Slope{Name: "processor of an idle host, by hosts", Unit: "% of a core", At: sizes}
 	rss = Slope{Name: "resident memory of an idle host, by hosts", Unit: "bytes", At: sizes}
 	const watch = 5 * time.Second
 	for _, n := range sizes {
-		err := withFleet(oneCore(n, 0), plenty, func(f *fleet.Fleet) error {
+		err := withFleet(oneCore(n, 0), ampleTokens, func(f *fleet.Fleet) error {
 			time.Sleep(2 * time.Second)
 			before, err := allCPU(f)
 			if err != nil {
@@ -175,11 +175,11 @@
 	return cpu, rss, nil
 }
 
-// StreamBytes is the resident memory of a lone host for each open stream.
+// StreamBytes measures the resident memory of a lone host per open stream, in bytes.
 func StreamBytes(sizes ...int) (Slope, error) {
 	s := Slope{Name: "memory of an open stream", Unit: "bytes", At: sizes}
 	for _, n := range sizes {
-		err := withFleet(oneCore(1, 50*time.Millisecond), plenty, func(f *fleet.Fleet) error {
+		err := withFleet(oneCore(1, 50*time.Millisecond), ampleTokens, func(f *fleet.Fleet) error {
 			if _, err := closedLoop(f, "chat", "warm", 5, 16, time.Second); err != nil {
 				return err
 			}
@@ -210,7 +210,7 @@
 	return s, nil
 }
 
-// Latency is what a caller sees of streams: quantiles in microseconds.
+// Latency holds the times to the first token and between tokens that callers see, in microseconds.
 type Latency struct {
 	First, Gap *hdr.Histogram
 }
@@ -220,12 +220,12 @@
 	return &Latency{First: hdr.New(1, most, digits), Gap: hdr.New(1, most, digits)}
 }
 
-// Compare streams answers from an engine directly and through the fleet, in
-// turn and at the same rate.
+// Compare streams responses from an engine directly and through the fleet, alternately
+// and at the same rate.
 func Compare(hosts, streams, rounds int, each time.Duration) (direct, through *Latency, err error) {
 	direct, through = newLatency(), newLatency()
 	o := fleet.Options{Hosts: hosts, Domains: min(hosts, 3), Targets: targets(each)}
-	err = withFleet(o, plenty, func(f *fleet.Fleet) error {
+	err = withFleet(o, ampleTokens, func(f *fleet.Fleet) error {
 		var addrs []string
 		for _, h := range f.Hosts {
 			addrs = append(addrs, h.Listen)
@@ -236,7 +236,7 @@
 		for r := range rounds {
 			name := fmt.Sprint("r", r)
 			if r == 0 {
-				// The first round opens the connections.
+				// A warm-up, which isn't recorded, opens the connections.
 				inParallel(streams, func(i int) { viaFleet(c, newLatency(), nil, fmt.Sprint(name, "w-", i), i) })
 				inParallel(streams, func(i int) { viaEngine(engine, newLatency(), nil, fmt.Sprint(name, "wd-", i)) })
 				time.Sleep(settleTime)
@@ -254,7 +254,7 @@
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
-			time.Sleep(time.Duration(i) * time.Millisecond) // so that they don't all begin at once
+			time.Sleep(time.Duration(i) * time.Millisecond) // spread the starts
 			do(i)
 		})
 	}
--- a/bench/measure/slopes.go
+++ b/bench/measure/slopes.go
@@ -1,6 +1,6 @@
-// Package measure measures what docs/CAPACITY.md and docs/MEASUREMENTS.md are
-// made of: sizes, processor time and memory, each at several sizes so that it is
-// seen whether the cost is linear.
+// Package measure takes the measurements for docs/CAPACITY.md and docs/MEASUREMENTS.md:
+// bytes, processor time and memory, each at several sizes, which shows whether a
+// cost is linear.
 package measure
 
 import (
@@ -15,7 +15,7 @@
 	"maststage.dev/fold/view"
 )
 
-// Slope is one cost measured at several sizes.
+// Slope is one cost, measured at several sizes.
 type Slope struct {
 	Name  string
 	Unit  string
@@ -23,17 +23,17 @@
 	Costs []float64
 }
 
-// Last is the cost at the largest size.
+// Last returns the cost at the last and largest size.
 func (s Slope) Last() float64 { return s.Costs[len(s.Costs)-1] }
 
-// Names as long as the users' are.
+// Names of the same length as the users'.
 const (
 	exampleInc    = "host-101-0123456789ab"
 	exampleID     = "examora/0123456789abcdef0123"
 	exampleBudget = "examora-2026-autumn"
 )
 
-// Sizes gives the bytes of each kind of record in the log, in a batch of many.
+// Sizes returns the bytes that each kind of record takes in the log, in a large batch.
 func Sizes() map[string]float64 {
 	records := map[string]*peerv1.Record{
 		"bill":    {Kind: &peerv1.Record_Bill{Bill: &peerv1.Bill{Id: exampleID, Budget: exampleBudget, Tokens: 900, Claimant: exampleInc}}},
@@ -65,7 +65,7 @@
 	}
 }
 
-// perOp runs f under the testing package's clock and gives ns for each call.
+// perOp runs f as a benchmark and returns ns per iteration.
 func perOp(f func(b *testing.B)) float64 {
 	r := testing.Benchmark(f)
 	return float64(r.T.Nanoseconds()) / float64(r.N)
@@ -87,11 +87,11 @@
 
 const batchRecords = 100
 
-// FoldBill is the time to fold one bill into a table of n facts, in ns.
+// FoldBill measures the time to apply one bill to a table of n facts, in ns.
 func FoldBill(sizes ...int) Slope {
 	s := Slope{Name: "fold a bill, by facts kept", Unit: "ns", At: sizes}
 	for _, n := range sizes {
-		st := filled(n)
+		st := stateWithBills(n)
 		seq := uint64(n + 1)
 		cost := perOp(func(b *testing.B) {
 			for b.Loop() {
@@ -111,8 +111,8 @@
 	return s
 }
 
-// filled is a state with n billed facts.
-func filled(n int) *fold.State {
+// stateWithBills returns a state with n billed facts.
+func stateWithBills(n int) *fold.State {
 	st := fold.New()
 	for i := range n {
 		st.Apply(uint64(i+1), batchOf(uint64(i+1), billRecord(i)))
@@ -120,16 +120,16 @@
 	return st
 }
 
-// FactBytes is the memory of one fact, in bytes.
+// FactBytes measures the memory of one fact, in bytes.
 func FactBytes(sizes ...int) Slope {
 	s := Slope{Name: "memory of a fact", Unit: "bytes", At: sizes}
 	for _, n := range sizes {
-		s.Costs = append(s.Costs, heapOf(func() any { return filled(n) })/float64(n))
+		s.Costs = append(s.Costs, heapOf(func() any { return stateWithBills(n) })/float64(n))
 	}
 	return s
 }
 
-// heapOf is what a value keeps on the heap, in bytes.
+// heapOf returns the bytes that a value keeps on the heap.
 func heapOf(make func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -141,7 +141,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// withBudgets is a state with n budgets, each held by some hosts.
+// withBudgets returns a state with n budgets, each with allocations of that many holders.
 func withBudgets(n, holders int) *fold.State {
 	st := fold.New()
 	for i := range n {
@@ -154,7 +154,7 @@
 	return st
 }
 
-// BudgetBytes is the memory of a budget and of one holder's part of it.
+// BudgetBytes measures the memory of a budget and that of one holder's allocation, in bytes.
 func BudgetBytes(sizes ...int) (budget, holding Slope) {
 	budget = Slope{Name: "memory of a budget", Unit: "bytes", At: sizes}
 	holding = Slope{Name: "memory of one host's holding of a budget", Unit: "bytes", At: sizes}
@@ -168,7 +168,7 @@
 	return budget, holding
 }
 
-// FoldTake is the time to fold one take, in ns, by number of budgets.
+// FoldTake measures the time to apply one take, in ns, by number of budgets.
 func FoldTake(sizes ...int) Slope {
 	s := Slope{Name: "fold a take, by budgets", Unit: "ns", At: sizes}
 	for _, n := range sizes {
@@ -205,7 +205,7 @@
 	return v
 }
 
-// Replicas is the time to find who answers for an id, in ns, by members.
+// Replicas measures the time to find the replicas of an id, in ns, by number of members.
 func Replicas(sizes ...int) Slope {
 	s := Slope{Name: "find the replicas of an id, by members of the region", Unit: "ns", At: sizes}
 	for _, n := range sizes {
@@ -219,7 +219,7 @@
 	return s
 }
 
-// MemberBytes is the memory of a member of the view.
+// MemberBytes measures the memory of a member of the view, in bytes.
 func MemberBytes(sizes ...int) Slope {
 	s := Slope{Name: "memory of a member of the view", Unit: "bytes", At: sizes}
 	for _, n := range sizes {
@@ -228,12 +228,12 @@
 	return s
 }
 
-// Snapshot is the time to encode a state, in ns for each fact, and its bytes.
+// Snapshot measures the time to encode a state, in ns per fact, and its bytes per fact.
 func Snapshot(sizes ...int) (cost, size Slope) {
 	cost = Slope{Name: "encode a snapshot, for each fact", Unit: "ns", At: sizes}
 	size = Slope{Name: "snapshot, for each fact", Unit: "bytes", At: sizes}
 	for _, n := range sizes {
-		st := filled(n)
+		st := stateWithBills(n)
 		var bytes int
 		c := perOp(func(b *testing.B) {
 			for b.Loop() {
@@ -250,8 +250,8 @@
 	return cost, size
 }
 
-// Publish is the bytes and the time to check declarations, for each
-// organisation with a budget, in a set of n.
+// Publish measures the time to apply a configuration of n organisations with a budget
+// each, in ns per organisation, and its bytes per organisation.
 func Publish(sizes ...int) (cost, size Slope) {
 	cost = Slope{Name: "fold a configuration, for each organisation", Unit: "ns", At: sizes}
 	size = Slope{Name: "configuration, for each organisation and budget", Unit: "bytes", At: sizes}
--- a/bench/measure/wire.go
+++ b/bench/measure/wire.go
@@ -18,14 +18,14 @@
 	"maststage.dev/standin/target"
 )
 
-// counted counts the bytes of a listener's connections, both ways.
-type counted struct {
+// countingListener counts the bytes of its connections, in both directions.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-// Accept wraps a connection.
-func (l *counted) Accept() (net.Conn, error) {
+// Accept returns a connection whose bytes are counted.
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -38,42 +38,42 @@
 	bytes *atomic.Int64
 }
 
-// Read counts what comes in.
+// Read counts the bytes received.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what goes out.
+// Write counts the bytes sent.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// idle answers peers with nothing to do.
-type idle struct{}
+// idlePeer is a peer that responds to calls without doing any work.
+type idlePeer struct{}
 
-func (idle) Execute(context.Context, *peerv1.ExecuteRequest, func(*peerv1.ExecuteResponse) error) error {
+func (idlePeer) Execute(context.Context, *peerv1.ExecuteRequest, func(*peerv1.ExecuteResponse) error) error {
 	return nil
 }
-func (idle) Claim(_, claimant string, epoch uint64) claim.Answer {
+func (idlePeer) Claim(_, claimant string, epoch uint64) claim.Answer {
 	return claim.Answer{Granted: true, Epoch: epoch, Claimant: claimant}
 }
-func (idle) Release(string, string)                           {}
-func (idle) Hold(*peerv1.Bill)                                {}
-func (idle) Lend(string, string, string, uint64) uint64       { return 0 }
-func (idle) Recent(uint64, int) ([]*peerv1.TailEntry, uint64) { return relayed, 1 }
-func (idle) State() ([]byte, error)                           { return nil, nil }
-func (idle) Relay(context.Context, []byte) error              { return nil }
-func (idle) Status() *peerv1.Status                           { return exampleStatus() }
-func (idle) Heard(*peerv1.Status)                             {}
-func (idle) Stop()                                            {}
-
-// relayed is what a host gives to one that can't reach the log: 100 batches of
-// one bill each.
-var relayed = func() []*peerv1.TailEntry {
+func (idlePeer) Release(string, string)                           {}
+func (idlePeer) Hold(*peerv1.Bill)                                {}
+func (idlePeer) Lend(string, string, string, uint64) uint64       { return 0 }
+func (idlePeer) Recent(uint64, int) ([]*peerv1.TailEntry, uint64) { return relayedBatches, 1 }
+func (idlePeer) State() ([]byte, error)                           { return nil, nil }
+func (idlePeer) Relay(context.Context, []byte) error              { return nil }
+func (idlePeer) Status() *peerv1.Status                           { return exampleStatus() }
+func (idlePeer) Heard(*peerv1.Status)                             {}
+func (idlePeer) Stop()                                            {}
+
+// relayedBatches is what a host relays to one that can't reach the log: 100 batches
+// of one bill each.
+var relayedBatches = func() []*peerv1.TailEntry {
 	var out []*peerv1.TailEntry
 	for i := range 100 {
 		out = append(out, &peerv1.TailEntry{Offset: uint64(i + 1), Data: batchOf(uint64(i+1), billRecord(i))})
@@ -81,12 +81,12 @@
 	return out
 }()
 
-// Call is the cost of one call between hosts.
+// Call is the cost of one kind of call between hosts, for several numbers of calls.
 type Call struct {
 	Name  string
-	At    []int     // calls made
-	Bytes []float64 // on the wire, both ways, for each call
-	CPU   []float64 // ns of both sides together, for each call
+	At    []int     // number of calls
+	Bytes []float64 // on the wire in both directions, per call
+	CPU   []float64 // ns of both sides together, per call
 }
 
 // Calls measures the calls between hosts over a real connection.
@@ -95,8 +95,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	l := &counted{Listener: ln}
-	s := peer.NewServer(idle{}, secret)
+	l := &countingListener{Listener: ln}
+	s := peer.NewServer(idlePeer{}, secret)
 	go func() { _ = s.Serve(l) }()
 	defer s.Stop()
 	client, err := peer.NewPool(secret, nil).Client(ln.Addr().String())
@@ -129,19 +129,19 @@
 	return append(out, load...), err
 }
 
-// kind is a call to measure.
+// kind is a kind of call to measure.
 type kind struct {
 	name string
 	call func(context.Context) error
 }
 
-// loadCalls measures the load report of a target.
+// loadCalls measures the call for a target's load report.
 func loadCalls(sizes []int) ([]Call, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	l := &counted{Listener: ln}
+	l := &countingListener{Listener: ln}
 	mux := http.NewServeMux()
 	mux.Handle(platformv1connect.NewTargetHandler(target.New("e", manySlots, 0, false)))
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
@@ -154,7 +154,7 @@
 	}}}, sizes)
 }
 
-func measureCalls(l *counted, kinds []kind, sizes []int) ([]Call, error) {
+func measureCalls(l *countingListener, kinds []kind, sizes []int) ([]Call, error) {
 	var out []Call
 	for _, k := range kinds {
 		c := Call{Name: k.name, At: sizes}
@@ -173,7 +173,7 @@
 
 const secret = "a-secret-of-hosts-only"
 
-func calls(l *counted, n int, call func(context.Context) error) (bytes, cpu float64, err error) {
+func calls(l *countingListener, n int, call func(context.Context) error) (bytes, cpu float64, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := call(ctx); err != nil {
--- a/load/caller/caller.go
+++ b/load/caller/caller.go
@@ -152,14 +152,14 @@
 	defer cancel()
 	silence := time.AfterFunc(o.Request.IdleTimeout, cancel)
 	defer silence.Stop()
-	attempt := uint32(1)
+	attemptNumber := uint32(1)
 	if o.Ran != "no" {
-		attempt = 2
+		attemptNumber = 2
 	}
 	r := o.Request
 	req := connect.NewRequest(&maststagev1.RunRequest{
 		RequestId: r.ID, Class: r.Class, Input: r.Input, MaxTokens: r.MaxTokens,
-		Attempt: attempt, ResumeFrom: o.Chunks,
+		Attempt: attemptNumber, ResumeFrom: o.Chunks,
 	})
 	req.Header().Set("Authorization", "Bearer "+r.Key)
 	s, err := client.Run(ctx, req)
