--- a/fold/budget/budget.go
+++ b/fold/budget/budget.go
@@ -68,11 +68,11 @@
 	if a == nil || n > a.Granted {
 		return false
 	}
-	own := a.of(ended)
+	own := a.balances(ended)
 	if own[inc] < int64(n) {
 		return false
 	}
-	take(own, inc, int64(n))
+	debit(own, inc, int64(n))
 	a.Granted -= n
 	return true
 }
@@ -83,7 +83,7 @@
 	if a == nil {
 		return
 	}
-	take(a.of(ended), inc, int64(n))
+	debit(a.balances(ended), inc, int64(n))
 	a.Consumed += n
 }
 
@@ -94,8 +94,8 @@
 	if a == nil {
 		return
 	}
-	take(a.of(fromEnded), from, int64(n))
-	take(a.of(toEnded), to, -int64(n))
+	debit(a.balances(fromEnded), from, int64(n))
+	debit(a.balances(toEnded), to, -int64(n))
 }
 
 // End turns the tokens that inc holds into stranded ones.
@@ -115,14 +115,14 @@
 	}
 }
 
-func (a *Account) of(ended bool) map[string]int64 {
+func (a *Account) balances(ended bool) map[string]int64 {
 	if ended {
 		return a.Stranded
 	}
 	return a.Held
 }
 
-func take(m map[string]int64, inc string, n int64) {
+func debit(m map[string]int64, inc string, n int64) {
 	m[inc] -= n
 	if m[inc] == 0 {
 		delete(m, inc)
--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -210,11 +210,11 @@
 	b.runs = append(b.runs, run)
 	b.mu.Unlock()
 	gone, done := watch(reader)
-	goes := b.work(c, run, how, gone)
-	if goes {
+	keepOpen := b.work(c, run, how, gone)
+	if keepOpen {
 		<-done // the next request has arrived, or the connection was closed
 	}
-	return goes
+	return keepOpen
 }
 
 // work responds to a request that was recorded.
@@ -233,16 +233,16 @@
 	if how.CrossedFirst {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\n%s: s\r\nContent-Length: 5\r\n\r\nother", b.names.RequestID, b.names.Stamp)
 	}
-	var goes bool
+	var keepOpen bool
 	if how.Events > 0 {
-		goes = b.stream(c, run, how, gone)
+		keepOpen = b.stream(c, run, how, gone)
 	} else {
-		goes = b.write(c, *run, how)
+		keepOpen = b.write(c, *run, how)
 	}
-	if how.Extra && goes {
+	if how.Extra && keepOpen {
 		b.write(c, *run, Behaviour{Body: "extra"})
 	}
-	return goes && !how.NoLength
+	return keepOpen && !how.NoLength
 }
 
 // watch closes gone when the peer closes the connection, and done then or when
--- a/standin/faultlink/faultlink.go
+++ b/standin/faultlink/faultlink.go
@@ -140,12 +140,12 @@
 		if err != nil {
 			return
 		}
-		go l.carry(near)
+		go l.forward(near)
 	}
 }
 
-// carry connects to the server and forwards both ways until the connection ends.
-func (l *Link) carry(near net.Conn) {
+// forward connects to the server and forwards both ways until the connection ends.
+func (l *Link) forward(near net.Conn) {
 	far, err := net.Dial("tcp", l.opts.To)
 	if err != nil {
 		_ = near.Close()
--- a/standin/memlog/memlog.go
+++ b/standin/memlog/memlog.go
@@ -207,7 +207,7 @@
 }
 
 func (v *view) read(ctx context.Context, p eventlog.Partition, from int64) (eventlog.Batch, <-chan struct{}, error) {
-	if err := v.pass(ctx, p); err != nil {
+	if err := v.beginRead(ctx, p); err != nil {
 		return eventlog.Batch{}, nil, err
 	}
 	v.log.mu.Lock()
@@ -223,8 +223,8 @@
 	return batch, part.grown, nil
 }
 
-// pass counts a read and applies the host's faults to it.
-func (v *view) pass(ctx context.Context, p eventlog.Partition) error {
+// beginRead counts a read and applies the host's faults to it.
+func (v *view) beginRead(ctx context.Context, p eventlog.Partition) error {
 	v.log.mu.Lock()
 	v.log.reads++
 	fault := v.log.fault(v.host, p)
@@ -244,7 +244,7 @@
 
 // Newest implements eventlog.Log.
 func (v *view) Newest(ctx context.Context, p eventlog.Partition, after string) (eventlog.Page, error) {
-	if err := v.pass(ctx, p); err != nil {
+	if err := v.beginRead(ctx, p); err != nil {
 		return eventlog.Page{}, err
 	}
 	v.log.mu.Lock()
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -95,7 +95,7 @@
 // waiter is a queued request.
 type waiter struct {
 	priority uint32
-	got      chan struct{}
+	granted  chan struct{}
 }
 
 // acquireSlot waits for a slot, larger priorities first. The caller must return it by releaseSlot.
@@ -106,11 +106,11 @@
 		t.mu.Unlock()
 		return nil
 	}
-	w := &waiter{priority: priority, got: make(chan struct{})}
+	w := &waiter{priority: priority, granted: make(chan struct{})}
 	t.queue = append(t.queue, w)
 	t.mu.Unlock()
 	select {
-	case <-w.got:
+	case <-w.granted:
 		return nil
 	case <-ctx.Done():
 	}
@@ -130,7 +130,7 @@
 	t.passSlot()
 }
 
-// passSlot passes a free slot to the first waiter of the largest priority. The caller holds t.mu.
+// passSlot passes a slot to the first waiter of the largest priority, or frees it. The caller holds t.mu.
 func (t *Target) passSlot() {
 	if len(t.queue) == 0 {
 		t.running--
@@ -142,7 +142,7 @@
 			first = i
 		}
 	}
-	close(t.queue[first].got)
+	close(t.queue[first].granted)
 	t.queue = slices.Delete(t.queue, first, first+1)
 }
 
