--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -259,7 +259,7 @@
 }
 
 // A second bill of an id must be rejected, and Order lists each id once.
-func TestFactsAreBounded(t *testing.T) {
+func TestOnlyFirstBillOfRequestCounts(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	for i := range 3 {
