--- a/proofs/fleet/faults.go
+++ b/proofs/fleet/faults.go
@@ -8,23 +8,23 @@
 	toxiproxy "github.com/Shopify/toxiproxy/v2"
 )
 
-// Kill ends a host at once.
+// Kill kills a host's process and waits until it has exited.
 func (f *Fleet) Kill(i int) {
 	_ = f.Hosts[i].cmd.Process.Kill()
 	_ = f.Hosts[i].cmd.Wait()
 }
 
-// Freeze stops a host's process without ending it; Thaw lets it go on.
-func (f *Fleet) Freeze(i int) { f.signal(i, syscall.SIGSTOP) }
+// Pause stops a host's process with SIGSTOP; Resume continues it.
+func (f *Fleet) Pause(i int) { f.signal(i, syscall.SIGSTOP) }
 
-// Thaw lets a frozen host go on.
-func (f *Fleet) Thaw(i int) { f.signal(i, syscall.SIGCONT) }
+// Resume continues a paused host.
+func (f *Fleet) Resume(i int) { f.signal(i, syscall.SIGCONT) }
 
-// Term asks a host for a planned stop.
+// Term asks a host for a graceful shutdown.
 func (f *Fleet) Term(i int) { f.signal(i, syscall.SIGTERM) }
 
-// Ended waits until a host's process has ended and gives its error.
-func (f *Fleet) Ended(i int) error { return f.Hosts[i].cmd.Wait() }
+// WaitExit waits until a host's process has exited and returns its error.
+func (f *Fleet) WaitExit(i int) error { return f.Hosts[i].cmd.Wait() }
 
 func (f *Fleet) signal(i int, s syscall.Signal) {
 	if err := f.Hosts[i].cmd.Process.Signal(s); err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// CutLog cuts hosts off from the log, HealLog undoes it.
+// CutLog cuts hosts off from the log.
 func (f *Fleet) CutLog(hosts ...int) {
 	for _, i := range hosts {
 		f.Hosts[i].log.Stop()
@@ -46,11 +46,11 @@
 	}
 }
 
-// Cut cuts the hosts on one side off from those on the other, both ways.
-func (f *Fleet) Cut(a, b []int) { f.each(a, b, func(p *toxiproxy.Proxy) { p.Stop() }) }
+// Cut partitions the hosts in a from those in b, in both directions.
+func (f *Fleet) Cut(a, b []int) { f.eachLink(a, b, func(p *toxiproxy.Proxy) { p.Stop() }) }
 
 // Heal undoes Cut.
-func (f *Fleet) Heal(a, b []int) { f.each(a, b, f.restart) }
+func (f *Fleet) Heal(a, b []int) { f.eachLink(a, b, f.restart) }
 
 func (f *Fleet) restart(p *toxiproxy.Proxy) {
 	if err := p.Start(); err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (f *Fleet) each(a, b []int, do func(*toxiproxy.Proxy)) {
+func (f *Fleet) eachLink(a, b []int, do func(*toxiproxy.Proxy)) {
 	for _, i := range a {
 		for _, j := range b {
 			do(f.links[[2]int{i, j}])
@@ -67,13 +67,13 @@
 	}
 }
 
-// Switch sets switches of a stand-in: "log", "members" or a target.
+// Switch sets fault switches of a stand-in: "log", "members" or a target's name.
 func (f *Fleet) Switch(name, query string) {
 	f.T.Helper()
 	f.get(name, "/switch?"+query)
 }
 
-// Change changes the membership list.
+// Change changes the entry of a member in the membership list.
 func (f *Fleet) Change(member, do string) {
 	f.T.Helper()
 	f.get("members", "/change?name="+member+"&do="+do)
--- a/proofs/fleet/fleet.go
+++ b/proofs/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts a whole fleet for a test: stand-ins and hosts as real
-// processes, with fault-injecting proxies between hosts and before the log.
+// Package fleet starts a whole fleet for a test: stand-ins and hosts run as real
+// processes, with fault-injecting proxies between the hosts and between each host and the log.
 package fleet
 
 import (
@@ -27,7 +27,7 @@
 	startWait   = 20 * time.Second
 )
 
-// TB is what a fleet needs of a test, or of a program that measures one.
+// TB is the part of testing.TB that a fleet needs; a benchmark program implements it too.
 type TB interface {
 	Helper()
 	Cleanup(func())
@@ -38,7 +38,7 @@
 	Fatalf(format string, args ...any)
 }
 
-// Target is a back end to start.
+// Target describes a back end to start.
 type Target struct {
 	Name, Kind, Pool string
 	Slots            int
@@ -46,18 +46,18 @@
 	Fenced           bool
 }
 
-// Options say what to start.
+// Options describe the fleet to start.
 type Options struct {
 	Hosts    int
 	Domains  int
-	Regions  int // 0: one
-	Retain   int // entries the log keeps, 0: many
+	Regions  int // 0 means 1
+	Retain   int // entries that the log retains; 0 means 1 000 000
 	Targets  []Target
-	Settings string   // more lines of each host's settings
-	Env      []string // more environment of each host
+	Settings string   // appended to the settings file of each host
+	Env      []string // added to the environment of each host
 }
 
-// Host is one maststaged.
+// Host is one maststaged process.
 type Host struct {
 	Name, Domain, Listen, Peer string
 	Region                     string
@@ -66,11 +66,11 @@
 	log                        *toxiproxy.Proxy
 }
 
-// Fleet is what was started.
+// Fleet is a running fleet.
 type Fleet struct {
 	T       TB
 	Hosts   []*Host
-	Log     string // stand-in's address
+	Log     string // address of the stand-in
 	Members string
 	Targets map[string]string
 	bin     string
@@ -86,7 +86,7 @@
 	err error
 }
 
-// binaries builds the programs once for all tests of a package.
+// binaries builds the programs, once for all tests of a package, and returns their folder.
 func binaries() (string, error) {
 	build.Do(func() {
 		build.dir, build.err = os.MkdirTemp("", "maststage-bin-")
@@ -96,16 +96,16 @@
 		out, err := exec.Command("go", "build", "-o", build.dir+"/",
 			"maststage.dev/cmd/maststaged", "maststage.dev/cmd/maststage", "maststage.dev/standin/cmd/maststandin").CombinedOutput()
 		if err != nil {
-			build.err = fmt.Errorf("building: %w\n%s", err, out)
+			build.err = fmt.Errorf("build failed: %w\n%s", err, out)
 		}
 	})
 	return build.dir, build.err
 }
 
-// Clean removes what was built; call it at the end of TestMain.
+// Clean removes the built programs; call it at the end of TestMain.
 func Clean() { _ = os.RemoveAll(build.dir) }
 
-// Start starts a fleet and stops it at the end of the test.
+// Start starts a fleet and waits until all hosts are members. The fleet is stopped at the end of the test.
 func Start(t TB, o Options) *Fleet {
 	t.Helper()
 	bin, err := binaries()
@@ -121,8 +121,8 @@
 	return f
 }
 
-// Ports below those that the system hands out to clients, so that none is taken
-// between the choice and the use.
+// Ports below the ephemeral range, so that the system can't assign one to a client between
+// its choice and its use.
 const (
 	firstPort = 12000
 	lastPort  = 30000
@@ -130,29 +130,29 @@
 
 var nextPort atomic.Int64
 
-// loopback is an address of this process alone: those that run beside it choose ports too,
-// and would take one between its choice and its use.
+// loopback returns an address that is unique to this process: test processes that run at the same
+// time choose ports too, and could take one between its choice and its use.
 func loopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16%126, pid>>8%256, pid%256)
 }
 
-// address gives a free one.
-func address(t TB) string {
+// freeAddress returns an unused loopback address and port.
+func freeAddress(t TB) string {
 	for range lastPort - firstPort {
 		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
 		addr := fmt.Sprintf("%s:%d", loopback(), port)
-		if free(addr) {
+		if canListen(addr) {
 			return addr
 		}
 	}
-	t.Fatal("no free port")
+	t.Fatal("no unused loopback port found")
 	return ""
 }
 
-// free says whether an address can be listened on. No process may be forked meanwhile: until it
-// runs its program it has a copy of the listener, and the address would be in use a moment longer.
-func free(addr string) bool {
+// canListen reports whether an address can be listened on. It holds the fork lock: a child forked
+// meanwhile inherits the listener until it execs, which would keep the address in use a moment longer.
+func canListen(addr string) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	l, err := net.Listen("tcp", addr)
@@ -165,45 +165,45 @@
 
 func (f *Fleet) startPlatform() {
 	o := f.opts
-	f.Log, f.Members = address(f.T), address(f.T)
+	f.Log, f.Members = freeAddress(f.T), freeAddress(f.T)
 	retain := o.Retain
 	if retain == 0 {
 		retain = 1000000
 	}
-	f.standin("log", "-listen", f.Log, "-retain", fmt.Sprint(retain))
+	f.startStandin("log", "-listen", f.Log, "-retain", fmt.Sprint(retain))
 	args := []string{"-listen", f.Members}
 	for i := range o.Hosts {
 		h := &Host{
 			Name: fmt.Sprintf("h%d", i), Domain: fmt.Sprintf("d%d", i%o.Domains),
 			Region: fmt.Sprintf("r%d", i%max(o.Regions, 1)),
-			Listen: address(f.T), Peer: address(f.T), dir: f.dir,
+			Listen: freeAddress(f.T), Peer: freeAddress(f.T), dir: f.dir,
 		}
 		f.Hosts = append(f.Hosts, h)
 		args = append(args, "-member", fmt.Sprintf("%s,%s,host,,%s,0", h.Name, h.Peer, h.Domain))
 	}
 	for i, g := range o.Targets {
-		addr := address(f.T)
+		addr := freeAddress(f.T)
 		f.Targets[g.Name] = addr
 		fence := ""
 		more := []string{}
 		if g.Fenced {
 			fence, more = ",fenced", []string{"-fenced"}
 		}
-		f.standin(g.Kind, append([]string{"-listen", addr, "-name", g.Name, "-slots", fmt.Sprint(g.Slots), "-each", g.Each.String()}, more...)...)
+		f.startStandin(g.Kind, append([]string{"-listen", addr, "-name", g.Name, "-slots", fmt.Sprint(g.Slots), "-each", g.Each.String()}, more...)...)
 		args = append(args, "-member", fmt.Sprintf("%s,%s,%s,%s,d%d,%d%s", g.Name, addr, g.Kind, g.Pool, i%o.Domains, g.Slots, fence))
 	}
-	f.standin("members", args...)
+	f.startStandin("members", args...)
 	f.startProxies()
 }
 
-func (f *Fleet) standin(kind string, args ...string) {
+func (f *Fleet) startStandin(kind string, args ...string) {
 	cmd := exec.Command(filepath.Join(f.bin, "maststandin"), append([]string{kind}, args...)...)
 	cmd.Stderr = os.Stderr
-	f.start(cmd)
+	f.startProcess(cmd)
 	f.waitListening(args[1])
 }
 
-func (f *Fleet) start(cmd *exec.Cmd) {
+func (f *Fleet) startProcess(cmd *exec.Cmd) {
 	if err := cmd.Start(); err != nil {
 		f.T.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 	quiet := zerolog.Nop()
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), quiet)
 	open := func(upstream string) *toxiproxy.Proxy {
-		p := toxiproxy.NewProxy(server, upstream, address(f.T), upstream)
+		p := toxiproxy.NewProxy(server, upstream, freeAddress(f.T), upstream)
 		if err := p.Start(); err != nil {
 			f.T.Fatal(err)
 		}
@@ -245,7 +245,7 @@
 	}
 }
 
-// StartHost starts the process of a host, again if it was killed.
+// StartHost starts the process of a host, also after the previous one was killed.
 func (f *Fleet) StartHost(i int) {
 	h := f.Hosts[i]
 	var via []string
@@ -269,7 +269,7 @@
 	h.cmd = exec.Command(filepath.Join(f.bin, "maststaged"), "-config", path)
 	h.cmd.Stderr = out
 	h.cmd.Env = append(os.Environ(), f.opts.Env...)
-	f.start(h.cmd)
+	f.startProcess(h.cmd)
 	f.T.Cleanup(func() {
 		_ = out.Close()
 		if f.T.Failed() {
@@ -289,7 +289,7 @@
 	return string(data[max(len(data)-tailBytes, 0):])
 }
 
-// Eventually waits until a condition holds.
+// Eventually waits until cond holds, and fails the test after 20 s.
 func (f *Fleet) Eventually(what string, cond func() bool) {
 	f.T.Helper()
 	for deadline := time.Now().Add(startWait); ; {
@@ -297,7 +297,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			f.T.Fatalf("not in time: %s", what)
+			f.T.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/proofs/fleet/observe.go
+++ b/proofs/fleet/observe.go
@@ -20,14 +20,14 @@
 	"maststage.dev/lib/declare"
 )
 
-// Run is what a target's own record says of an order.
+// Run is one execution of a request, as recorded by the target.
 type Run struct {
 	RequestID, Account, Target string
-	From, Tokens               uint64 // tokens that the host had already, and used ones
+	From, Tokens               uint64 // tokens that the host already had, and tokens used by this run
 	Start, End                 time.Time
 }
 
-// Ledger reads the records of all targets.
+// Ledger returns the recorded runs of all targets.
 func (f *Fleet) Ledger() []Run {
 	f.T.Helper()
 	var all []Run
@@ -41,8 +41,8 @@
 	return all
 }
 
-// Used is what the targets say an account has used.
-func (f *Fleet) Used(account string) uint64 {
+// UsedTokens returns the tokens that an account has used, as recorded by the targets.
+func (f *Fleet) UsedTokens(account string) uint64 {
 	f.T.Helper()
 	var n uint64
 	for _, r := range f.Ledger() {
@@ -53,7 +53,7 @@
 	return n
 }
 
-// Runs counts the runs of each request of an account.
+// Runs returns the number of runs of each request of an account.
 func (f *Fleet) Runs(account string) map[string]int {
 	f.T.Helper()
 	runs := map[string]int{}
@@ -65,30 +65,29 @@
 	return runs
 }
 
-// Pid is the process id of a host.
+// Pid returns the process id of a host.
 func (f *Fleet) Pid(i int) int { return f.Hosts[i].cmd.Process.Pid }
 
-// Tool runs maststage against a host as the operator and gives its output and
-// exit status.
+// Tool runs maststage against a host as the operator and returns its output and exit status.
 func (f *Fleet) Tool(host int, stdin string, args ...string) (output string, status int) {
 	cmd := exec.Command(filepath.Join(f.bin, "maststage"), args...)
 	cmd.Env = append(os.Environ(), "MASTSTAGE_HOST="+f.Hosts[host].Listen, "MASTSTAGE_KEY="+operatorKey)
 	cmd.Stdin = strings.NewReader(stdin)
-	out, _ := cmd.CombinedOutput() // the status says more than the error
+	out, _ := cmd.CombinedOutput() // the exit status tells more than the error
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// Daemon runs maststaged with other arguments than a host's.
+// Daemon runs maststaged with the given arguments and returns its output and exit status.
 func (f *Fleet) Daemon(args ...string) (output string, status int) {
 	cmd := exec.Command(filepath.Join(f.bin, "maststaged"), args...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// Settings is the path of a host's settings.
+// Settings returns the path of a host's settings file.
 func (f *Fleet) Settings(i int) string { return filepath.Join(f.dir, f.Hosts[i].Name+".ini") }
 
-// Logged is all that a host has logged.
+// Logged returns everything that a host has logged.
 func (f *Fleet) Logged(i int) string {
 	data, err := os.ReadFile(filepath.Join(f.dir, f.Hosts[i].Name+".log"))
 	if err != nil {
@@ -97,7 +96,7 @@
 	return string(data)
 }
 
-// Metrics reads a host's metrics.
+// Metrics returns a host's metrics in the text format.
 func (f *Fleet) Metrics(i int) string {
 	res, err := http.Get("http://" + f.Hosts[i].Listen + "/metrics")
 	if err != nil {
@@ -111,7 +110,7 @@
 	return string(data)
 }
 
-// Operator gives a client of a host for operators.
+// Operator returns an operator's client for a host.
 func (f *Fleet) Operator(i int) maststagev1connect.OperatorClient {
 	return maststagev1connect.NewOperatorClient(http.DefaultClient, "http://"+f.Hosts[i].Listen, withKey(operatorKey))
 }
@@ -125,13 +124,13 @@
 	}))
 }
 
-// Operators is the section that declares the operator.
+// Operators returns the section of the declarations that declares the operator.
 func Operators() string {
 	return "[operator ops]\nkey_sha256 = " + declare.HashKey(operatorKey) + "\n"
 }
 
-// Apply publishes declarations through a host and waits until all the given
-// hosts have them in force.
+// Apply publishes declarations through the first host and waits until they are in force on the
+// given hosts, or on all hosts if none are given.
 func (f *Fleet) Apply(text string, hosts ...int) {
 	f.T.Helper()
 	got, err := f.Operator(0).Publish(context.Background(), connect.NewRequest(&maststagev1.PublishRequest{BaseVersion: f.version, Text: text}))
@@ -149,7 +148,7 @@
 	}
 }
 
-// VersionAt is the version in force on a host, 0 if it does not answer.
+// VersionAt returns the configuration version in force on a host, or 0 if the host does not respond.
 func (f *Fleet) VersionAt(i int) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -160,7 +159,7 @@
 	return got.Msg.Version
 }
 
-// View is the members that a host sees, nil if it does not answer.
+// View returns the members that a host sees, or nil if the host does not respond.
 func (f *Fleet) View(i int) []*maststagev1.Host {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -171,7 +170,7 @@
 	return got.Msg.Hosts
 }
 
-// WaitMembers waits until the first host that answers sees n members.
+// WaitMembers waits until the first host that responds sees n members.
 func (f *Fleet) WaitMembers(n int) {
 	f.T.Helper()
 	f.Eventually(fmt.Sprintf("%d members", n), func() bool {
@@ -184,7 +183,7 @@
 	})
 }
 
-// Budget is an account as a host sees it.
+// Budget returns a budget as a host sees it.
 func (f *Fleet) Budget(i int, name string) *maststagev1.Budget {
 	f.T.Helper()
 	got, err := f.Operator(i).ListBudgets(context.Background(), connect.NewRequest(&maststagev1.ListBudgetsRequest{}))
@@ -200,7 +199,7 @@
 	return nil
 }
 
-// Trace prints what hosts logged of a request, in the order of its times, and what targets ran of it.
+// Trace logs the lines that hosts logged about a request, in order of time, and its runs at the targets.
 func (f *Fleet) Trace(id string) {
 	f.T.Helper()
 	var lines []string
@@ -212,7 +211,7 @@
 		}
 	}
 	slices.Sort(lines)
-	f.T.Logf("hosts on %s:\n%s", id, strings.Join(lines, "\n"))
+	f.T.Logf("log lines of the hosts about %s:\n%s", id, strings.Join(lines, "\n"))
 	for _, r := range f.Ledger() {
 		if r.RequestID == "org/"+id {
 			f.T.Logf("%s ran it from chunk %d, %d tokens, %s to %s", r.Target, r.From, r.Tokens, r.Start.Format(time.StampMilli), r.End.Format(time.StampMilli))
--- a/proofs/main_test.go
+++ b/proofs/main_test.go
@@ -16,13 +16,14 @@
 	os.Exit(code)
 }
 
-// Keys of the test's organisation.
+// API key and budget of the organisation that the tests use.
 const (
 	key     = "key-of-the-organisation"
 	account = "main"
 )
 
-// declarations has one organisation with one budget, engines and a service.
+// declarations returns a configuration with one organisation, one budget of the given tokens, a pool
+// of engines and a pool of plain services.
 func declarations(tokens uint64) string {
 	return fleet.Operators() + fmt.Sprintf(`
 [organisation org]
@@ -44,7 +45,7 @@
 `, declare.HashKey(key), tokens)
 }
 
-// engines are two model engines, services two plain services.
+// engines returns two model engines. each is the time that one token takes.
 func engines(each time.Duration) []fleet.Target {
 	return []fleet.Target{
 		{Name: "e0", Kind: "engine", Pool: "model", Slots: 32, Each: each},
@@ -52,6 +53,7 @@
 	}
 }
 
+// services returns two plain services, of which one checks fences. each is the time of one request.
 func services(each time.Duration) []fleet.Target {
 	return []fleet.Target{
 		{Name: "s0", Kind: "service", Pool: "plain", Slots: 32, Each: each},
--- a/proofs/overload_test.go
+++ b/proofs/overload_test.go
@@ -12,9 +12,9 @@
 	"maststage.dev/proofs/fleet"
 )
 
-// Essays come at several times what the engines can do; short urgent work on the
-// same engines keeps its deadline, and essays that can't be done in time are
-// refused as not run, with the time to come back, before they wait for long.
+// Long requests arrive at several times the capacity of the engines. Short requests of higher
+// priority on the same engines keep their deadline; long ones that can't finish in time are shed
+// early, as not run and with a retry time.
 func TestOverloadUrgentFirst(t *testing.T) {
 	is := is.New(t)
 	targets := []fleet.Target{
@@ -36,21 +36,21 @@
 [policy flag]
 program = to("model").Priority(10).Deadline(3000).MaxTokens(4)
 `, declare.HashKey(key)))
-	// Eight slots do 16 essays of 0.5 s a second; 50 come.
-	essays := &storm{f: f, class: "chat", name: "essay", tokens: 100, every: 20 * time.Millisecond, silence: 5 * time.Second, once: true}
-	flags := &storm{f: f, class: "flag", name: "flag", tokens: 4, every: 100 * time.Millisecond, silence: 5 * time.Second, once: true}
-	essays.begin()
+	// Eight slots serve 16 essays of 0.5 s a second; 50 arrive.
+	essays := &traffic{f: f, class: "chat", name: "essay", tokens: 100, interval: 20 * time.Millisecond, silence: 5 * time.Second, noRetry: true}
+	flags := &traffic{f: f, class: "flag", name: "flag", tokens: 4, interval: 100 * time.Millisecond, silence: 5 * time.Second, noRetry: true}
+	essays.start()
 	time.Sleep(2 * time.Second)
-	flags.begin()
+	flags.start()
 	time.Sleep(6 * time.Second)
-	flagged := flags.end()
-	for i := range flagged { // engines give them the same kind of answer
-		flagged[i].Want = want("chat", strings.TrimPrefix(flagged[i].FullID, "org/"), nil, 4)
+	flagged := flags.finish()
+	for i := range flagged { // engines send the same kind of response as for chats
+		flagged[i].Want = wantOutput("chat", strings.TrimPrefix(flagged[i].FullID, "org/"), nil, 4)
 	}
-	c := judge(t, f, flagged, 10_000_000)
+	c := checkCases(t, f, flagged, 10_000_000)
 	is.Equal(c.Whole, c.Requests)
-	cases := essays.end()
-	c = judge(t, f, cases, 10_000_000)
+	cases := essays.finish()
+	c = checkCases(t, f, cases, 10_000_000)
 	is.True(c.Whole > 0)
 	is.True(c.Refused > 0)
 	for _, k := range cases {
--- a/proofs/product_test.go
+++ b/proofs/product_test.go
@@ -13,8 +13,7 @@
 	"maststage.dev/proofs/fleet"
 )
 
-// The command-line tool answers as its manual says, with the exit statuses that
-// scripts use.
+// Guards the documented output and exit statuses of the command-line tool, which scripts rely on.
 func TestCommandLine(t *testing.T) {
 	is := is.New(t)
 	f := fleet.Start(t, fleet.Options{Hosts: 3, Domains: 3, Targets: engines(time.Millisecond)})
@@ -75,11 +74,11 @@
 	out, status = f.Tool(0, "", "drain", "h2")
 	is.Equal(status, 0)
 	is.Equal(out, "h2 is stopping\n")
-	is.NoErr(f.Ended(2))
-	f.Eventually("h2 is out of the view", func() bool { return len(f.View(0)) == 2 })
+	is.NoErr(f.WaitExit(2))
+	f.Eventually("h2 has left the view", func() bool { return len(f.View(0)) == 2 })
 }
 
-// maststaged checks its settings, and says what is wrong in one line.
+// maststaged -check validates the settings and reports a fault in one line.
 func TestDaemonCheck(t *testing.T) {
 	is := is.New(t)
 	f := fleet.Start(t, fleet.Options{Hosts: 1, Domains: 1})
@@ -93,21 +92,21 @@
 	is.True(strings.Contains(out, path+`: section [host]: key "domain" is missing`))
 }
 
-// Neither keys nor prompts nor answers are logged; metrics have histograms for
-// each organisation and class and counters for each kind.
+// Guards against keys, prompts and responses in the log. Metrics have histograms for each organisation
+// and class, and counters for each kind of outcome.
 func TestLogsAndMetrics(t *testing.T) {
 	is := is.New(t)
 	f := fleet.Start(t, fleet.Options{Hosts: 1, Domains: 1, Targets: engines(time.Millisecond), Settings: "[log]\nlevel = debug\nformat = json\n"})
 	f.Apply(declarations(1000))
 	const prompt = "the prompt of somebody"
-	a := f.Do(0, fleet.Ask{Key: key, ID: "one", Class: "chat", Input: []byte(prompt), MaxTokens: 5})
+	a := f.Do(0, fleet.Request{Key: key, ID: "one", Class: "chat", Input: []byte(prompt), MaxTokens: 5})
 	is.True(a.Whole)
-	b := f.Do(0, fleet.Ask{Key: key, ID: "two", Class: "chat", Input: []byte(prompt)})
+	b := f.Do(0, fleet.Request{Key: key, ID: "two", Class: "chat", Input: []byte(prompt)})
 	is.True(b.Whole)
-	c := f.Do(0, fleet.Ask{Key: key, ID: "three", Class: "chat", Input: make([]byte, 8000)})
+	c := f.Do(0, fleet.Request{Key: key, ID: "three", Class: "chat", Input: make([]byte, 8000)})
 	is.Equal(c.Kind, "budget")
-	is.Equal(f.Do(0, fleet.Ask{Key: "wrong-key", ID: "four", Class: "chat"}).Kind, "unauthenticated")
-	is.Equal(f.Do(0, fleet.Ask{Key: key, ID: strings.Repeat("x", 100), Class: "chat"}).Kind, "invalid")
+	is.Equal(f.Do(0, fleet.Request{Key: "wrong-key", ID: "four", Class: "chat"}).Kind, "unauthenticated")
+	is.Equal(f.Do(0, fleet.Request{Key: key, ID: strings.Repeat("x", 100), Class: "chat"}).Kind, "invalid")
 	logged := f.Logged(0)
 	for _, secret := range []string{key, "wrong-key", prompt, string(a.Data), "a-secret-of-hosts-only"} {
 		is.True(!strings.Contains(logged, secret))
@@ -122,7 +121,7 @@
 		`maststage_log_up 1`,
 	} {
 		if !strings.Contains(metrics, want) {
-			t.Errorf("no %s in the metrics", want)
+			t.Errorf("metrics lack %s", want)
 		}
 	}
 }
--- a/proofs/storm_test.go
+++ b/proofs/traffic_test.go
@@ -14,18 +14,18 @@
 	"maststage.dev/standin/target"
 )
 
-// storm sends requests of one class at a steady rate while a test breaks
-// things, and collects what the callers were told.
-type storm struct {
+// traffic sends requests of one class at a steady rate while a test injects faults, and collects the
+// outcomes that callers see.
+type traffic struct {
 	f        *fleet.Fleet
 	class    string
-	name     string // goes into the ids
+	name     string // prefix of the request ids
 	tokens   uint32
-	every    time.Duration
+	interval time.Duration
 	silence  time.Duration
 	patience time.Duration
-	hosts    []int // where callers go first, nil: all in turn
-	once     bool  // callers don't try again
+	hosts    []int // that callers try first, in turn; nil means all
+	noRetry  bool  // callers don't retry
 
 	mu    sync.Mutex
 	cases []verdict.Case
@@ -33,7 +33,7 @@
 	stop  chan struct{}
 }
 
-func (s *storm) begin() {
+func (s *traffic) start() {
 	if s.silence == 0 {
 		s.silence = 2 * time.Second
 	}
@@ -42,10 +42,10 @@
 	}
 	s.stop = make(chan struct{})
 	s.wg.Add(1)
-	go s.drive()
+	go s.run()
 }
 
-func (s *storm) drive() {
+func (s *traffic) run() {
 	defer s.wg.Done()
 	var addrs []string
 	for i, h := range s.f.Hosts {
@@ -54,7 +54,7 @@
 		}
 	}
 	c := caller.New(addrs)
-	tick := time.NewTicker(s.every)
+	tick := time.NewTicker(s.interval)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -63,7 +63,7 @@
 		case <-tick.C:
 		}
 		s.wg.Add(1)
-		go s.one(c, n)
+		go s.send(c, n)
 	}
 }
 
@@ -76,22 +76,22 @@
 	return false
 }
 
-func (s *storm) one(c *caller.Caller, n int) {
+func (s *traffic) send(c *caller.Caller, n int) {
 	defer s.wg.Done()
 	id := fmt.Sprintf("%s-%d", s.name, n)
 	input := []byte("input of " + id)
 	o := c.Send(context.Background(), caller.Request{
 		Key: key, ID: id, Class: s.class, Input: input, MaxTokens: s.tokens,
-		IdleTimeout: s.silence, Timeout: s.patience, First: n, Once: s.once,
+		IdleTimeout: s.silence, Timeout: s.patience, First: n, Once: s.noRetry,
 	})
-	k := verdict.Case{Outcome: o, FullID: "org/" + id, Single: s.class == "save", Want: want(s.class, id, input, s.tokens), Account: account, Need: uint64(s.tokens) + 50}
+	k := verdict.Case{Outcome: o, FullID: "org/" + id, Single: s.class == "save", Want: wantOutput(s.class, id, input, s.tokens), Account: account, Need: uint64(s.tokens) + 50}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cases = append(s.cases, k)
 }
 
-// want is the answer that the stand-ins give.
-func want(class, id string, input []byte, tokens uint32) []byte {
+// wantOutput returns the response that the stand-ins give.
+func wantOutput(class, id string, input []byte, tokens uint32) []byte {
 	if class != "chat" {
 		return target.Output("org/"+id, input)
 	}
@@ -102,16 +102,16 @@
 	return b.Bytes()
 }
 
-// end stops sending and waits for the last answers.
-func (s *storm) end() []verdict.Case {
+// finish stops sending, waits for the last responses and returns all cases.
+func (s *traffic) finish() []verdict.Case {
 	close(s.stop)
 	s.wg.Wait()
 	return s.cases
 }
 
-// judge holds the answers against the targets' records and the log, once the
-// bills had time to get there.
-func judge(t *testing.T, f *fleet.Fleet, cases []verdict.Case, total uint64) *verdict.Count {
+// checkCases checks the cases against the targets' records and the bills in the log. It waits up to 8 s
+// for bills that are not in the log yet.
+func checkCases(t *testing.T, f *fleet.Fleet, cases []verdict.Case, total uint64) *verdict.Count {
 	t.Helper()
 	var addrs []string
 	for _, a := range f.Targets {
