--- a/proofs/soak/account_test.go
+++ b/proofs/soak/account_test.go
@@ -15,23 +15,23 @@
 	"maststage.dev/standin/memlog"
 )
 
-// accountHosts is more than a fleet in which each host takes its own slices, so that
-// tokens lie at keepers and are lent.
+// accountHosts is larger than a fleet in which each host takes its own allocations, so that keepers
+// hold tokens and lend them.
 const accountHosts = 12
 
-// TestAccountBalances puts the account of tokens together from the lines of real processes,
-// some of which are cut off and killed, and compares it with the store and the targets.
+// TestAccountBalances computes the account of tokens from the log lines of the hosts, some of which are
+// cut off and killed, and compares it with the store and the targets.
 func TestAccountBalances(t *testing.T) {
 	w := newWorld(t, accountHosts, 7)
-	w.traffics(1, 2*time.Second)
+	w.trafficFor(1, 2*time.Second)
 	heal := w.hosts[2].store.Inject(faultlink.Fault{DropUp: true})
-	w.log.SetFault(w.hosts[3].name, memlog.Fault{Lose: true}) // what it appends is done, and it is not told
-	w.traffics(2, 2*time.Second)
+	w.log.SetFault(w.hosts[3].name, memlog.Fault{Lose: true}) // its appends take effect, but it gets no response
+	w.trafficFor(2, 2*time.Second)
 	heal()
 	w.log.SetFault(w.hosts[3].name, memlog.Fault{})
-	w.traffics(3, settleTime)
+	w.trafficFor(3, settleTime)
 	w.settle()
-	before := w.balanced(largeTenant)
+	before := w.settledAccount(largeTenant)
 	for _, h := range w.hosts[4:7] {
 		h.kill()
 		h.start()
@@ -39,37 +39,37 @@
 	for _, h := range w.hosts[4:7] {
 		h.waitListening(startTime)
 	}
-	w.traffics(4, settleTime)
+	w.trafficFor(4, settleTime)
 	w.settle()
-	after := w.balanced(largeTenant)
+	after := w.settledAccount(largeTenant)
 	t.Logf("before %+v", before)
-	t.Logf("after  %+v", after)
+	t.Logf("after %+v", after)
 	for _, s := range []account.Sum{before, after} {
 		if s.Untold != 0 || s.Reserved != 0 || s.OnTheWay != 0 {
-			t.Errorf("tokens that nobody has: %+v", s)
+			t.Errorf("tokens without a holder: %+v", s)
 		}
 	}
 	if before.Died != 0 || after.Died == 0 {
-		t.Errorf("died %d before the kills, %d after them", before.Died, after.Died)
+		t.Errorf("tokens of dead hosts: %d before the kills, %d after them", before.Died, after.Died)
 	}
 	w.checkAccount(after)
 }
 
-// traffics lets callers ask for a while.
-func (w *world) traffics(seed uint64, d time.Duration) {
+// trafficFor sends requests for a time.
+func (w *world) trafficFor(seed uint64, d time.Duration) {
 	ctx, stop := context.WithTimeout(context.Background(), d)
 	defer stop()
 	w.traffic(ctx, seed)
 }
 
-// settle waits until requests under way are over and hosts told of them; tokens that are
-// not used for longer go back to the log.
+// settle waits until requests in flight are over and hosts have reported them. Tokens that stay unused
+// for longer are returned to the log.
 func (w *world) settle() { time.Sleep(time.Second) }
 
-// balanced is accountOf once nothing is on its way between hosts, or as it is after a while: idle
-// tokens are given to another host some seconds after the last request, and for some milliseconds
-// only one of the two has told of them.
-func (w *world) balanced(organisation string) account.Sum {
+// settledAccount returns accountOf once no transfer between hosts is in flight, or after settleTime in
+// any case: idle tokens are transferred to another host some seconds after the last request, and for
+// some milliseconds only one of the two has reported them.
+func (w *world) settledAccount(organisation string) account.Sum {
 	w.t.Helper()
 	s := w.accountOf(organisation)
 	for end := time.Now().Add(settleTime); s.OnTheWay != 0 && time.Now().Before(end); s = w.accountOf(organisation) {
@@ -78,7 +78,7 @@
 	return s
 }
 
-// accountOf is where the tokens of an organisation are by the hosts' lines.
+// accountOf returns where the tokens of an organisation are, according to the hosts' log lines.
 func (w *world) accountOf(organisation string) account.Sum {
 	w.t.Helper()
 	var book account.Book
@@ -98,11 +98,11 @@
 			return s
 		}
 	}
-	w.t.Fatal("nothing is told of " + organisation)
+	w.t.Fatal("no host reported the organisation " + organisation)
 	return account.Sum{}
 }
 
-// checkAccount compares an account with the store's record and with what targets made.
+// checkAccount compares an account with the store's record and with the tokens that targets recorded.
 func (w *world) checkAccount(s account.Sum) {
 	record := prepaid.Account{}
 	budgets := platform.Environment(w.hosts[0].store.Address(), 0).BudgetsTopic
@@ -116,7 +116,7 @@
 		}
 	}
 	if s.Granted != record.Granted {
-		w.t.Errorf("granted %d, the store has %d", s.Granted, record.Granted)
+		w.t.Errorf("hosts report %d granted tokens, the store has %d", s.Granted, record.Granted)
 	}
 	spent := int64(0)
 	for _, list := range w.runs() {
@@ -129,6 +129,6 @@
 		}
 	}
 	if s.Used != spent {
-		w.t.Errorf("used %d, targets read and made %d", s.Used, spent)
+		w.t.Errorf("hosts report %d used tokens, targets read and generated %d", s.Used, spent)
 	}
 }
--- a/proofs/soak/callers_test.go
+++ b/proofs/soak/callers_test.go
@@ -17,16 +17,16 @@
 	"maststage.dev/standin/backend"
 )
 
-// Sizes of requests.
+// Figures of callers and their requests.
 const (
 	tokensIn  = 40
-	mostOut   = 30
-	leastOut  = 5
+	maxOut    = 30
+	minOut    = 5
 	callers   = 12
 	thinkTime = 25 * time.Millisecond
 )
 
-// call is what a caller saw of one request.
+// call is one request as its caller saw it.
 type call struct {
 	id, path, tenant string
 	host             *host
@@ -34,23 +34,23 @@
 	sent             bool // the request was written
 	status           int
 	stamp            string
-	limit            string    // that the answer names
-	headAt           time.Time // when the head of the answer came
+	limit            string    // sent with the response
+	headAt           time.Time // when the response header arrived
 	body             string
 	err              error
 }
 
-// wholeBody is the answer of a plain service to a request.
+// wholeBody returns the complete response of a plain service to a request.
 func wholeBody(id string) string { return "answer to " + id }
 
-// eventsOf is how many events the answer of an engine has.
+// eventsOf returns the number of events in an engine's response to a request.
 func eventsOf(id string) int {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, id)
-	return leastOut + int(h.Sum32()%(mostOut-leastOut+1))
+	return minOut + int(h.Sum32()%(maxOut-minOut+1))
 }
 
-// streamBody is the answer of an engine to a request.
+// streamBody returns the complete response of an engine to a request.
 func streamBody(id string) string {
 	var b strings.Builder
 	for n := 1; n <= eventsOf(id); n++ {
@@ -68,7 +68,7 @@
 	all.Wait()
 }
 
-// caller sends one request after the other on connections that it keeps.
+// caller sends requests one after the other over persistent connections.
 func (w *world) caller(ctx context.Context, random *rand.Rand) {
 	client := newClient()
 	for ctx.Err() == nil {
@@ -86,8 +86,8 @@
 
 var lastRequest atomic.Int64
 
-// send sends one request and waits for the end of its answer. Without a tenant it
-// carries no key.
+// send sends one request and waits for the end of its response. Without a tenant the request carries
+// no key.
 func (w *world) send(client *http.Client, h *host, path, tenant string, random *rand.Rand) call {
 	c := call{
 		id: fmt.Sprintf("%s-%d", w.network, lastRequest.Add(1)), path: path, tenant: tenant, host: h, started: time.Now(),
@@ -107,7 +107,7 @@
 	return c
 }
 
-// request builds the request of a call.
+// request builds the HTTP request of a call.
 func (c *call) request(ctx context.Context, random *rand.Rand) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.host.listen+c.uri(), strings.NewReader(c.content()))
 	if err != nil {
@@ -121,13 +121,13 @@
 		req.Header.Set(names.Key, keyOf(c.tenant))
 	}
 	if c.path == streamPath || isDeadly(c.path) {
-		req.Header.Set(names.Usage, fmt.Sprintf("%d,%d", tokensIn, mostOut))
+		req.Header.Set(names.Usage, fmt.Sprintf("%d,%d", tokensIn, maxOut))
 		req.Header.Set(names.PromptParts, fmt.Sprintf("a%d:30,%x:10", random.IntN(5), random.Uint32()))
 	}
 	return req
 }
 
-// uri and content are what a call asks for: a deadly request is the same each time.
+// uri returns the request URI, content the body. A deadly request has the same ones each time.
 func (c *call) uri() string {
 	if isDeadly(c.path) {
 		return c.path
@@ -142,10 +142,10 @@
 	return sentBody(c.id)
 }
 
-// sentBody is the body of a request.
+// sentBody returns the body of a request.
 func sentBody(id string) string { return "body of " + id }
 
-// read reads the answer of a call to its end.
+// read reads the response of a call to its end.
 func (c *call) read(resp *http.Response) {
 	defer resp.Body.Close()
 	c.status, c.stamp = resp.StatusCode, resp.Header.Get(platform.Headers.Stamp)
--- a/proofs/soak/checks_test.go
+++ b/proofs/soak/checks_test.go
@@ -9,7 +9,7 @@
 	"maststage.dev/standin/backend"
 )
 
-// check checks what must hold at any time, over all that was seen.
+// check checks the guarantees that must hold at any time, over everything recorded.
 func (w *world) check() {
 	w.watch.mu.Lock()
 	calls, arrivals := w.watch.calls, w.watch.arrivals
@@ -39,7 +39,7 @@
 	w.checkLimits(calls, arrivals)
 }
 
-// runs lists the runs of each request at all targets.
+// runs returns the runs of each request at all targets, by request id.
 func (w *world) runs() map[string][]backend.Run {
 	runs := map[string][]backend.Run{}
 	for _, s := range w.allTargets() {
@@ -53,7 +53,8 @@
 	return runs
 }
 
-// checkAnswer: a caller gets the whole answer to its own request; a break shows.
+// checkAnswer: a caller gets the complete response to its own request, and an incomplete one shows as
+// an error.
 func (w *world) checkAnswer(c call) {
 	if c.status == http.StatusUnauthorized && c.tenant != revokedTenant || c.status == http.StatusNotFound && !strings.HasPrefix(c.path, versionPrefix) {
 		w.watch.violation("let in", "%s%s of %s got %d", c.path, c.id, c.tenant, c.status)
@@ -71,18 +72,17 @@
 	case c.err == nil && c.body != want:
 		w.watch.violation("whole answer", "%s got %q, not %q", c.id, c.body, want)
 	case !strings.HasPrefix(want, c.body):
-		w.watch.violation("whole answer", "%s got %q, which is no beginning of %q", c.id, c.body, want)
+		w.watch.violation("whole answer", "%s got %q, which is not a prefix of %q", c.id, c.body, want)
 	}
 }
 
-// promises that a request has not run and never will.
+// notRun lists the statuses that guarantee that a request has not run and never will.
 var notRun = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// checkOnce: what may not be repeated runs once at most, and what was refused did
-// not run.
+// checkOnce: a request that must not be retried runs at most once, and a refused one did not run.
 func (w *world) checkOnce(c call, runs []backend.Run) {
 	if c.path != unsafePath {
 		return
@@ -95,16 +95,16 @@
 	}
 }
 
-// checkPlannedStop: a planned stop cuts off nothing.
+// checkPlannedStop: a graceful shutdown breaks no request.
 func (w *world) checkPlannedStop(c call, arrived bool) {
-	if c.err == nil || !c.sent || !arrived || c.ended.Sub(c.started) >= requestLimit || !w.watch.calm(c.started, c.ended) {
+	if c.err == nil || !c.sent || !arrived || c.ended.Sub(c.started) >= requestLimit || !w.watch.faultFree(c.started, c.ended) {
 		return
 	}
-	w.watch.violation("planned stop", "%s%s of %s broke without a fault after %v: status %d, %v",
+	w.watch.violation("planned stop", "%s%s to %s failed without a fault after %v: status %d, %v",
 		c.path, c.id, c.host.name, c.ended.Sub(c.started).Round(time.Millisecond), c.status, c.err)
 }
 
-// checkRequest: targets get requests as callers sent them.
+// checkRequest: targets get requests as callers sent them, with the organisation and without the key.
 func (w *world) checkRequest(c call, runs []backend.Run) {
 	names := platform.Headers
 	for _, run := range runs {
@@ -115,8 +115,8 @@
 	}
 }
 
-// checkSpend: no organisation gets more than it was ever allowed: the tokens of each
-// prompt once, and what was handed out.
+// checkSpend: no organisation uses more tokens than it was ever allowed. The tokens of a prompt count
+// once for a request, the generated ones for each run.
 func (w *world) checkSpend(runs map[string][]backend.Run) {
 	spent := map[string]int64{}
 	for _, list := range runs {
@@ -133,17 +133,17 @@
 	budgets := w.watch.budgets
 	w.watch.mu.Unlock()
 	for tenant, budget := range budgets {
-		w.t.Logf("%s spent %d of %d", tenant, spent[tenant], budget)
+		w.t.Logf("%s used %d tokens of %d", tenant, spent[tenant], budget)
 		if spent[tenant] > budget {
-			w.watch.violation("budget", "%s got %d tokens and was never allowed more than %d", tenant, spent[tenant], budget)
+			w.watch.violation("budget", "%s used %d tokens and was never allowed more than %d", tenant, spent[tenant], budget)
 		}
 	}
 }
 
-// slack is allowed on times that hosts promise, for a busy machine.
+// slack is added to the time limits that hosts guarantee, for a busy machine.
 const slack = 3 * time.Second
 
-// checkLeaving: a target that leaves gets nothing new after a while.
+// checkLeaving: a leaving target gets no new requests after drainWithin.
 func (w *world) checkLeaving(arrivals map[string][]arrivalAt) {
 	for id, list := range arrivals {
 		for _, a := range list {
@@ -151,14 +151,14 @@
 			left := a.target.leftAt
 			a.target.mu.Unlock()
 			late := !left.IsZero() && a.at.Sub(left) > drainWithin+slack
-			if late && (a.at.After(w.watch.wellAgain) || w.watch.calm(left, a.at)) {
+			if late && (a.at.After(w.watch.recoveredAt) || w.watch.faultFree(left, a.at)) {
 				w.watch.violation("leaving target", "%s got %s %v after it left", a.target.id, id, a.at.Sub(left).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-// checkRetries: hosts together send no more than a share of requests again.
+// checkRetries: retries of all hosts together stay within the share of requests that is allowed.
 func (w *world) checkRetries(calls []call, arrivals map[string][]arrivalAt) {
 	requests, repeats := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, c := range calls {
@@ -176,16 +176,16 @@
 	for service, list := range repeats {
 		for _, end := range list {
 			got := within(list, end, retryWindow)
-			// Requests of the window before count too, as on the platform's page.
+			// Requests of the window half a window earlier count too, as the platform documents.
 			asked := max(within(requests[service], end, retryWindow), within(requests[service], end.Add(-retryWindow/2), retryWindow))
 			if allowed := retryRatio*float64(asked) + retrySlack; float64(got) > allowed {
-				w.watch.violation("retry budget", "%s got %d repeats in %v for %d requests", service, got, retryWindow, asked)
+				w.watch.violation("retry budget", "%s got %d retries in %v for %d requests", service, got, retryWindow, asked)
 			}
 		}
 	}
 }
 
-// within counts the times in a span that ends at end.
+// within returns the number of times in a span that ends at end.
 func within(list []time.Time, end time.Time, span time.Duration) (n int) {
 	for _, at := range list {
 		if !at.After(end) && end.Sub(at) <= span {
--- a/proofs/soak/config_test.go
+++ b/proofs/soak/config_test.go
@@ -8,8 +8,8 @@
 	"maststage.dev/platform/platformtest"
 )
 
-// Organisations: one whose budget ends, one with a large one, one whose key comes
-// and goes.
+// Organisations: one whose budget is exhausted, one with a large budget, and one whose key is revoked
+// and restored.
 const (
 	smallTenant   = "small"
 	largeTenant   = "large"
@@ -18,7 +18,8 @@
 	largeBudget   = 100_000_000
 )
 
-// Routes. Those under versionPrefix show which configuration is in force.
+// Routes. Each version of the configuration adds one under versionPrefix, which shows whether that
+// version is in force.
 const (
 	callersHost   = "callers.example"
 	streamPath    = "/stream/"
@@ -58,12 +59,12 @@
 	w.put()
 }
 
-// manyRoutes is by how many routes the configuration of a deployment with thin links grows:
-// it is then some 300 KB.
+// manyRoutes is the number of routes added to the configuration of a cluster with slow links, which is
+// then some 300 KB.
 const manyRoutes = 1500
 
-// grow publishes a configuration with many more routes, which callers don't use.
-func (w *world) grow() {
+// addManyRoutes publishes a configuration with manyRoutes more routes, which callers don't use.
+func (w *world) addManyRoutes() {
 	w.publish(func(c *platformtest.Config) {
 		for range manyRoutes {
 			name := fmt.Sprintf("r-%x", w.random.Uint64())
@@ -77,18 +78,18 @@
 
 func keyOf(tenant string) string { return "key-of-" + tenant }
 
-// thinPause is the least time between two versions where hosts have thin links, over which
-// one takes 2.4 s. Faster ones can't all be in force in time, since the store sends each.
-const thinPause = 3 * time.Second
+// slowLinksPause is the minimum time between two versions with slow links, over which a version takes
+// 2.4 s. The store sends every version, so faster ones could not all be in force in time.
+const slowLinksPause = 3 * time.Second
 
-// publish puts a changed configuration into the store. Each version adds a route of
-// its own name and keeps the earlier ones.
+// publish writes a changed configuration to the store. Each version adds a route with its number and
+// keeps the earlier ones.
 func (w *world) publish(change func(*platformtest.Config)) {
 	w.publishing.Lock()
 	defer w.publishing.Unlock()
-	if w.thin {
+	if w.slowLinks {
 		_, last := w.watch.newestVersion()
-		time.Sleep(time.Until(last.Add(thinPause)))
+		time.Sleep(time.Until(last.Add(slowLinksPause)))
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,7 +113,7 @@
 	w.watch.published(w.config.Version)
 }
 
-// setBudget publishes another prepaid amount for the organisation whose budget ends.
+// setBudget publishes a changed budget of the small organisation.
 func (w *world) setBudget(change func(int64) int64) {
 	w.publish(func(c *platformtest.Config) {
 		for i := range c.Tenants {
@@ -124,7 +125,7 @@
 	})
 }
 
-// setKey publishes a configuration with or without the key that comes and goes.
+// setKey publishes a configuration with or without the key of the revoked organisation.
 func (w *world) setKey(present bool) {
 	w.publish(func(c *platformtest.Config) {
 		for i := range c.Tenants {
--- a/proofs/soak/deadly_test.go
+++ b/proofs/soak/deadly_test.go
@@ -11,48 +11,47 @@
 	"maststage.dev/standin/backend"
 )
 
-// deadlyKind is the kind of events in which a request comes again and again that ends each
-// target that begins to run it. It is not among strikes: the events of a seed stay what they
-// were without it.
+// deadlyKind is the kind of events that repeatedly send a deadly request, one that crashes each target
+// that begins to run it. It is not in strikes, so that the other events of a seed stay the same.
 const deadlyKind = "deadly"
 
 // Figures of deadly requests.
 const (
 	deadlyPath    = "/deadly/"
-	deadlyEvery   = 3 // of so many seeds with faults one has them
-	mostDeadly    = 2
-	leastDeadly   = time.Second
-	deadlyLonger  = 5 * time.Second
-	deadlyPause   = 100 * time.Millisecond // between two of them
-	deadlyDelay   = 20 * time.Millisecond  // from the begin of a run to the end of its target
-	deadlyBack    = 700 * time.Millisecond // until the target is back, under a new id
-	deadlyKnown   = time.Second            // after the third end all hosts know of it
-	deadlyAllowed = 3                      // sends later than that, of all hosts together
+	deadlyEvery   = 3 // one seed with faults in this many has them
+	maxDeadly     = 2
+	minDeadly     = time.Second
+	deadlySpread  = 5 * time.Second
+	deadlyPause   = 100 * time.Millisecond // between two sends
+	deadlyDelay   = 20 * time.Millisecond  // from the start of a run to the crash of its target
+	replaceDelay  = 700 * time.Millisecond // until a new target with a new id replaces it
+	deadlyNotice  = time.Second            // after the third crash, until all hosts know of it
+	deadlyAllowed = 3                      // sends after that, by all hosts together
 	deadlyTries   = 20
 )
 
-// deadlies draws the deadly requests of a seed, apart from its other events. The pick is
-// which one it is: two events may be about the same.
+// deadlies draws the deadly events of a seed, from a random source of its own. Their pick chooses the
+// request; two events may send the same one.
 func deadlies(seed uint64, others []event) []event {
 	random := rand.New(rand.NewPCG(seed, 5))
 	if !faulty(others) || random.IntN(deadlyEvery) != 0 {
 		return nil
 	}
-	events := make([]event, 1+random.IntN(mostDeadly))
+	events := make([]event, 1+random.IntN(maxDeadly))
 	for i := range events {
 		events[i] = event{
 			at:     time.Duration(random.Int64N(int64(faultTime))),
-			length: leastDeadly + time.Duration(random.Int64N(int64(deadlyLonger))),
+			length: minDeadly + time.Duration(random.Int64N(int64(deadlySpread))),
 			kind:   deadlyKind, pick: random.IntN(2),
 		}
 	}
 	return events
 }
 
-// deadlyName tells the deadly requests apart.
+// deadlyName returns the name of the deadly request that an event sends.
 func deadlyName(e event) string { return []string{"a", "b"}[e.pick%2] }
 
-// deadly sends a deadly request at random hosts until the event is over.
+// deadly sends a deadly request to random hosts until the event is over.
 func deadly(w *world, e event) {
 	defer w.watch.fault(e.kind)()
 	random := rand.New(rand.NewPCG(uint64(e.at), uint64(e.pick)))
@@ -64,25 +63,25 @@
 	all.Wait()
 }
 
-// sendDeadly sends a deadly request under a new id and gives the status.
+// sendDeadly sends a deadly request with a new id and returns the status.
 func (w *world) sendDeadly(h *host, name string) int {
 	c := w.send(newClient(), h, deadlyPath+name, largeTenant, rand.New(rand.NewPCG(1, 1)))
 	w.watch.call(c)
 	return c.status
 }
 
-// isDeadly says whether a request is one.
+// isDeadly reports whether a path is that of a deadly request.
 func isDeadly(path string) bool { return strings.HasPrefix(path, deadlyPath) }
 
-// endDeadly is how a target answers a deadly request: it ends, unless the request is taken
-// back before it begins to run.
-func (w *world) endDeadly() backend.Behaviour {
+// crashBehaviour returns a target's behaviour for a deadly request: it crashes, unless the request is
+// cancelled before it begins to run.
+func (w *world) crashBehaviour() backend.Behaviour {
 	w.watch.deadlyArrived()
 	return backend.Behaviour{Delay: deadlyDelay, Crash: true}
 }
 
-// replace waits for the end of a target, ends the way to it and starts another one, unless
-// the world is over.
+// replace waits until a target has ended, closes the link to it and starts another target, unless the
+// cluster is stopped.
 func (w *world) replace(s *targetState) {
 	<-s.Done()
 	if !w.beginReplacing() {
@@ -92,33 +91,33 @@
 	s.mu.Lock()
 	s.leftAt = time.Now()
 	s.mu.Unlock()
-	s.way.Close()
-	time.Sleep(deadlyBack)
+	s.link.Close()
+	time.Sleep(replaceDelay)
 	w.log.Put(platformtest.Servers, s.id, nil)
-	if !w.isOver() {
+	if !w.isStopped() {
 		w.addTarget(s.service)
 	}
 }
 
-func (w *world) isOver() bool {
+func (w *world) isStopped() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.over
+	return w.stopped
 }
 
 func (w *world) beginReplacing() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.over {
+	if !w.stopped {
 		w.replacing.Add(1)
 	}
-	return !w.over
+	return !w.stopped
 }
 
-// endReplacing waits until no target is replaced any more.
+// endReplacing stops the replacement of targets and waits until those in progress are done.
 func (w *world) endReplacing() {
 	w.mu.Lock()
-	w.over = true
+	w.stopped = true
 	w.mu.Unlock()
 	w.replacing.Wait()
 }
@@ -129,7 +128,7 @@
 	w.deadly = append(w.deadly, time.Now())
 }
 
-// deadlySince lists the arrivals of deadly requests since a moment.
+// deadlySince returns the arrival times of deadly requests after begin.
 func (w *watch) deadlySince(begin time.Time) (list []time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -141,23 +140,23 @@
 	return list
 }
 
-// checkDeadly: when all is well again, no host sends a deadly request for long. Hosts may
-// have to count anew, since those that counted may have been killed together. What is under way
-// as the third target ends may end more: a trace of five ends shows the last ones sent before
-// the third, and all hosts refusing 16 ms after it.
+// checkDeadly: after recovery, hosts soon stop sending a deadly request. They may have to count crashes
+// again, since the hosts that counted them may have been killed together. Requests in flight when the
+// third target crashes may crash more: in a trace of five crashes the last ones were sent before the
+// third, and all hosts refused the request 16 ms after it.
 func (w *world) checkDeadly(events []event) {
 	for _, name := range []string{"a", "b"} {
-		struck := false
+		sent := false
 		for _, e := range events {
-			struck = struck || e.kind == deadlyKind && deadlyName(e) == name
+			sent = sent || e.kind == deadlyKind && deadlyName(e) == name
 		}
-		if struck {
-			w.checkStopped(name)
+		if sent {
+			w.checkDeadlyRefused(name)
 		}
 	}
 }
 
-func (w *world) checkStopped(name string) {
+func (w *world) checkDeadlyRefused(name string) {
 	begin := time.Now()
 	defer w.watch.fault("check of deadly requests")()
 	for range deadlyTries {
@@ -166,14 +165,14 @@
 		}
 		time.Sleep(deadlyPause)
 	}
-	time.Sleep(deadlyKnown)
+	time.Sleep(deadlyNotice)
 	if !w.refusedByAll(name) {
 		w.watch.violation("deadly request", "%s is not refused by all hosts", name)
 	}
 	list := w.watch.deadlySince(begin)
 	late := 0
 	for i, at := range list {
-		if i >= deadlyAllowed && at.Sub(list[deadlyAllowed-1]) > deadlyKnown+deadlyDelay {
+		if i >= deadlyAllowed && at.Sub(list[deadlyAllowed-1]) > deadlyNotice+deadlyDelay {
 			late++
 		}
 	}
@@ -182,8 +181,8 @@
 	}
 }
 
-// refusedByAll sends a deadly request at each host and says whether all refuse it, and none
-// has reached a target.
+// refusedByAll sends a deadly request to each host and reports whether all refuse it and none reached a
+// target.
 func (w *world) refusedByAll(name string) bool {
 	begin := time.Now()
 	refused := 0
--- a/proofs/soak/evacuate_test.go
+++ b/proofs/soak/evacuate_test.go
@@ -8,41 +8,40 @@
 	"maststage.dev/platform/platformtest"
 )
 
-// evacuateKind is the kind of events that evacuate a failure domain and take it back. It is
-// not among strikes: the events of a seed stay what they were without it.
+// evacuateKind is the kind of events that evacuate a failure domain and then revoke the evacuation. It
+// is not in strikes, so that the other events of a seed stay the same.
 const evacuateKind = "evacuate"
 
 // Figures of evacuations.
 const (
-	evacuateWithin = time.Second // an evacuated domain gets nothing new after it
-	evacuateEvery  = 2           // of so many seeds one has evacuations
-	mostEvacuated  = 3
+	evacuateWithin = time.Second // after this time an evacuated domain gets no new requests
+	evacuateEvery  = 2           // one seed in this many has evacuations
+	maxEvacuations = 3
 	domains        = 3
-	// An evacuation has to outlast the time allowed to be judged.
-	leastEvacuated = evacuateWithin + slack + time.Second
-	mostLonger     = 3 * time.Second
+	// To be checked, an evacuation has to last longer than the time allowed for it.
+	minEvacuation    = evacuateWithin + slack + time.Second
+	evacuationSpread = 3 * time.Second
 )
 
-// evacuations draws the evacuations of a seed, apart from its other events. They are planned
-// work.
+// evacuations draws the evacuations of a seed, from a random source of its own. They are planned work.
 func evacuations(seed uint64) []event {
 	random := rand.New(rand.NewPCG(seed, 4))
 	if random.IntN(evacuateEvery) != 0 {
 		return nil
 	}
-	events := make([]event, 1+random.IntN(mostEvacuated))
+	events := make([]event, 1+random.IntN(maxEvacuations))
 	for i := range events {
 		events[i] = event{
 			at:     time.Duration(random.Int64N(int64(faultTime))),
-			length: leastEvacuated + time.Duration(random.Int64N(int64(mostLonger))),
+			length: minEvacuation + time.Duration(random.Int64N(int64(evacuationSpread))),
 			kind:   evacuateKind, pick: random.IntN(domains),
 		}
 	}
 	return events
 }
 
-// evacuate orders an evacuation and takes it back. Of two of the same domain the second is
-// left out.
+// evacuate orders an evacuation and revokes it when the event is over. It does nothing if the domain is
+// already evacuated.
 func evacuate(w *world, e event) {
 	zone := fmt.Sprintf("z%d", e.pick%domains)
 	if !w.watch.beginEvacuation(zone) {
@@ -55,7 +54,8 @@
 	w.log.Put(platformtest.Operator, platformtest.EvacuationKey(zone), nil)
 }
 
-// beginEvacuation says whether the domain is not evacuated yet.
+// beginEvacuation records the begin of an evacuation, and reports false if the domain is already
+// evacuated.
 func (w *watch) beginEvacuation(zone string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,7 +68,7 @@
 	return true
 }
 
-// evacuated notes that the store has the order, which is when its time begins.
+// evacuated records that the store has the order, from which its time limit counts.
 func (w *watch) evacuated(zone string) { w.update(zone, func(e *interval) { e.begin = time.Now() }) }
 
 func (w *watch) endEvacuation(zone string) { w.update(zone, func(e *interval) { e.end = time.Now() }) }
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkEvacuations: targets of an evacuated failure domain get nothing new after a while.
+// checkEvacuations: targets of an evacuated failure domain get no new requests after evacuateWithin.
 func (w *world) checkEvacuations(arrivals map[string][]arrivalAt) {
 	w.watch.mu.Lock()
 	evacuations := w.watch.evacuations
@@ -93,7 +93,7 @@
 		for _, a := range list {
 			for _, e := range evacuations {
 				late := a.target.zone == e.what && a.at.Sub(e.begin) > evacuateWithin+slack && a.at.Before(e.end)
-				if late && w.watch.calm(e.begin, a.at) {
+				if late && w.watch.faultFree(e.begin, a.at) {
 					w.watch.violation("evacuation", "%s in %s got %s %v after the order", a.target.id, e.what, id, a.at.Sub(e.begin).Round(time.Millisecond))
 				}
 			}
--- a/proofs/soak/faults_test.go
+++ b/proofs/soak/faults_test.go
@@ -19,18 +19,18 @@
 type event struct {
 	at, length time.Duration
 	kind       string
-	pick       int     // of the thing that it strikes
-	part       float64 // of things, or of requests
+	pick       int     // selects what it affects
+	part       float64 // share of hosts, targets or requests that it affects
 }
 
 func (e event) String() string {
 	return fmt.Sprintf("%v %s pick %d part %.2f for %v", e.at.Round(time.Millisecond), e.kind, e.pick, e.part, e.length.Round(time.Millisecond))
 }
 
-// strike is a kind of event. It returns when the event is over.
+// strike carries out an event of one kind. It returns when the event is over.
 type strike func(w *world, e event)
 
-// strikes are all kinds.
+// strikes lists the kinds of events that schedule draws from.
 var strikes = map[string]strike{
 	"term":            func(w *world, e event) { w.hostFault(e, w.term) },
 	"term all":        termAll,
@@ -68,64 +68,64 @@
 	"revoke":          revoke,
 }
 
-// hushKind is the kind of events that let open connections go silent for good. It is not
-// among strikes: the events of a seed stay what they were without it.
-const hushKind = "hush"
+// silenceKind is the kind of events that silence open connections for good. It is not in strikes, so
+// that the other events of a seed stay the same.
+const silenceKind = "hush"
 
-func strikeOf(kind string) strike {
+func strikeFor(kind string) strike {
 	switch kind {
-	case hushKind:
-		return hush
+	case silenceKind:
+		return silenceConnections
 	case evacuateKind:
 		return evacuate
 	case deadlyKind:
 		return deadly
 	case limitKind:
-		return limited
+		return nameLimits
 	case readersKind:
-		return readersStop
+		return stallReaders
 	}
 	return strikes[kind]
 }
 
-// Figures of hushes.
+// Figures of silenced connections.
 const (
-	hushEvery  = 3 // of so many seeds with faults one has them
-	mostHushes = 3
-	hushFelt   = requestLimit // a request may wait so long on a silent connection
+	silenceEvery  = 3 // one seed with faults in this many has them
+	maxSilences   = 3
+	silenceEffect = requestLimit // the longest time that a request waits on a silent connection
 )
 
-// hushes draws the hushes of a seed, apart from its other events.
-func hushes(seed uint64, others []event) []event {
+// silences draws the events of a seed that silence connections, from a random source of its own.
+func silences(seed uint64, others []event) []event {
 	random := rand.New(rand.NewPCG(seed, 3))
-	if !faulty(others) || random.IntN(hushEvery) != 0 {
+	if !faulty(others) || random.IntN(silenceEvery) != 0 {
 		return nil
 	}
-	events := make([]event, 1+random.IntN(mostHushes))
+	events := make([]event, 1+random.IntN(maxSilences))
 	for i := range events {
 		events[i] = event{
-			at: time.Duration(random.Int64N(int64(faultTime))), length: hushFelt, kind: hushKind,
+			at: time.Duration(random.Int64N(int64(faultTime))), length: silenceEffect, kind: silenceKind,
 			pick: random.IntN(1000), part: random.Float64(),
 		}
 	}
 	return events
 }
 
-// faulty says whether some of the events are no planned work.
+// faulty reports whether any event is a fault rather than planned work.
 func faulty(events []event) bool {
 	return slices.ContainsFunc(events, func(e event) bool { return !slices.Contains(plannedWork, e.kind) })
 }
 
-// hush lets the open connections of some hosts to the store and of all hosts to some
-// targets go silent for good, without an end. New ones work.
-func hush(w *world, e event) {
+// silenceConnections silences the open connections of some hosts to the store, and of all hosts to some
+// targets, for good and without closing them. New connections work.
+func silenceConnections(w *world, e event) {
 	defer w.watch.fault(e.kind)()
-	for _, i := range some(len(w.hosts), e) {
+	for _, i := range pickIndices(len(w.hosts), e) {
 		w.hosts[i].store.Silence()
-		defer w.watch.excuse(w.hosts[i])()
+		defer w.watch.impair(w.hosts[i])()
 	}
-	for _, s := range struck(w, e) {
-		s.way.Silence()
+	for _, s := range pickTargets(w, e) {
+		s.link.Silence()
 	}
 	time.Sleep(e.length)
 }
@@ -133,16 +133,16 @@
 // Figures of a schedule.
 const (
 	faultTime  = 9 * time.Second // in which events begin
-	mostEvents = 22
+	eventLimit = 22
 	leastLong  = 200 * time.Millisecond
 	mostLong   = 3500 * time.Millisecond
 )
 
-// schedule draws the events of a seed. Some seeds have planned work only, so that
-// what holds around it can be checked.
+// schedule draws the events of a seed. Some seeds have only planned work, so that the guarantees that
+// hold without faults can be checked.
 func schedule(random *rand.Rand) []event {
 	kinds := kindsOf(random)
-	events := make([]event, 4+random.IntN(mostEvents-3))
+	events := make([]event, 4+random.IntN(eventLimit-3))
 	for i := range events {
 		events[i] = event{
 			at:     time.Duration(random.Int64N(int64(faultTime))),
@@ -155,7 +155,7 @@
 	return events
 }
 
-// draw draws one to most events of a kind, each of a length from least on.
+// draw draws one to most events of a kind, with lengths from least to less than least + longer.
 func draw(random *rand.Rand, kind string, most int, least, longer time.Duration) []event {
 	events := make([]event, 1+random.IntN(most))
 	for i := range events {
@@ -168,7 +168,7 @@
 	return events
 }
 
-// play runs the events and returns when all are over.
+// play runs each event at its time and returns when all are over.
 func (w *world) play(ctx context.Context, events []event) {
 	begin := time.Now()
 	var all sync.WaitGroup
@@ -177,15 +177,15 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Until(begin.Add(e.at))):
-				strikeOf(e.kind)(w, e)
+				strikeFor(e.kind)(w, e)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// some picks a part of n things, at least one, beginning with pick.
-func some(n int, e event) []int {
+// pickIndices returns the share of n indices that an event affects, at least one, from its pick on.
+func pickIndices(n int, e event) []int {
 	count := max(int(e.part*float64(n)), 1)
 	list := make([]int, count)
 	for i := range list {
@@ -194,7 +194,7 @@
 	return list
 }
 
-// hostFault lets one process fault at a time strike a host.
+// hostFault runs a process fault on a host, unless one is in progress there.
 func (w *world) hostFault(e event, do func(h *host, e event)) {
 	h := w.hosts[e.pick%len(w.hosts)]
 	h.mu.Lock()
@@ -210,10 +210,10 @@
 	h.mu.Unlock()
 }
 
-// term asks a host for a planned stop and starts it again.
+// term shuts a host down gracefully and restarts it.
 func (w *world) term(h *host, _ event) {
 	defer w.watch.stop("stop of " + h.name)()
-	defer w.watch.excuse(h)()
+	defer w.watch.impair(h)()
 	h.signal(syscall.SIGTERM, true)
 	if !h.waitEnd(graceTime + 5*time.Second) {
 		w.watch.violation("planned stop", "%s still runs 5 s after its grace time", h.name)
@@ -233,7 +233,7 @@
 
 func (w *world) killAndStart(h *host, e event) {
 	defer w.watch.fault("kill of " + h.name)()
-	defer w.watch.excuse(h)()
+	defer w.watch.impair(h)()
 	h.kill()
 	time.Sleep(e.length / 2)
 	h.start()
@@ -252,7 +252,7 @@
 
 func (w *world) pause(h *host, e event) {
 	defer w.watch.fault("pause of " + h.name)()
-	defer w.watch.excuse(h)()
+	defer w.watch.impair(h)()
 	h.signal(syscall.SIGSTOP, false)
 	time.Sleep(e.length)
 	h.signal(syscall.SIGCONT, false)
@@ -262,18 +262,18 @@
 func storeFault(f memlog.Fault) strike {
 	return func(w *world, e event) {
 		defer w.watch.fault(e.kind)()
-		for _, i := range some(len(w.hosts), e) {
+		for _, i := range pickIndices(len(w.hosts), e) {
 			w.log.SetFault(w.hosts[i].name, f)
-			defer w.watch.excuse(w.hosts[i])()
+			defer w.watch.impair(w.hosts[i])()
 		}
 		time.Sleep(e.length)
-		for _, i := range some(len(w.hosts), e) {
+		for _, i := range pickIndices(len(w.hosts), e) {
 			w.log.SetFault(w.hosts[i].name, memlog.Fault{})
 		}
 	}
 }
 
-// storeForgets drops the history of all partitions, again and again.
+// storeForgets repeatedly drops the history of all partitions.
 func storeForgets(w *world, e event) {
 	defer w.watch.fault(e.kind)()
 	for end := time.Now().Add(e.length); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -281,26 +281,26 @@
 	}
 }
 
-// storeLink disturbs the way of some hosts to the store.
+// storeLink injects a fault into the links between some hosts and the store.
 func storeLink(f faultlink.Fault) strike {
 	return func(w *world, e event) {
 		defer w.watch.fault(e.kind)()
-		for _, i := range some(len(w.hosts), e) {
+		for _, i := range pickIndices(len(w.hosts), e) {
 			defer w.hosts[i].store.Inject(f)()
-			defer w.watch.excuse(w.hosts[i])()
+			defer w.watch.impair(w.hosts[i])()
 		}
 		time.Sleep(e.length)
 	}
 }
 
-// struck picks some targets of one service.
-func struck(w *world, e event) []*targetState {
+// pickTargets returns the targets of one service that an event affects.
+func pickTargets(w *world, e event) []*targetState {
 	list := w.readyTargets([]string{engineService, plainService}[e.pick%2])
 	if len(list) == 0 {
 		return nil
 	}
 	var picked []*targetState
-	for _, i := range some(len(list), e) {
+	for _, i := range pickIndices(len(list), e) {
 		picked = append(picked, list[i])
 	}
 	return picked
@@ -309,21 +309,21 @@
 func targetLink(f faultlink.Fault) strike {
 	return func(w *world, e event) {
 		defer w.watch.fault(e.kind)()
-		for _, s := range struck(w, e) {
-			defer s.way.Inject(f)()
+		for _, s := range pickTargets(w, e) {
+			defer s.link.Inject(f)()
 		}
 		time.Sleep(e.length)
 	}
 }
 
-// targetFault makes some targets answer a part of their requests badly.
+// targetFault makes some targets respond wrongly to a share of their requests.
 func targetFault(spoil func(*backend.Behaviour)) strike {
 	return func(w *world, e event) {
 		defer w.watch.fault(e.kind)()
-		list := struck(w, e)
+		list := pickTargets(w, e)
 		for _, s := range list {
 			s.mu.Lock()
-			s.behave = func(b *backend.Behaviour) {
+			s.alter = func(b *backend.Behaviour) {
 				if w.random.Float64() < e.part {
 					spoil(b)
 				}
@@ -333,14 +333,14 @@
 		time.Sleep(e.length)
 		for _, s := range list {
 			s.mu.Lock()
-			s.behave = nil
+			s.alter = nil
 			s.mu.Unlock()
 		}
 	}
 }
 
-// targetLeaves lets a target drain or drop out of the list, and another take its
-// place. It serves on until the end.
+// targetLeaves marks a target as draining or removes its entry, and adds another target in its place.
+// The target itself continues to serve.
 func targetLeaves(w *world, e event) {
 	list := w.readyTargets([]string{engineService, plainService}[e.pick%2])
 	if len(list) < 2 {
--- a/proofs/soak/limit_test.go
+++ b/proofs/soak/limit_test.go
@@ -9,49 +9,49 @@
 	"maststage.dev/standin/backend"
 )
 
-// limitKind is the kind of events in which targets name the requests a second that they take. It is
-// not among strikes: the events of a seed stay what they were without it.
+// limitKind is the kind of events in which targets send a limit: the requests a second that they
+// accept. It is not in strikes, so that the other events of a seed stay the same.
 const limitKind = "limit"
 
-// Figures of limits, and of what a target that names one may get: in any limitSpan no more than
-// limitOverrun times what it allows and limitSlack more, from hosts that had passed on an answer with it
-// limitTold before, and from limitBegins after it was first named.
+// Figures of limits. A target with a limit may get in any limitSpan at most limitOverrun times what it
+// allows, plus limitSlack. This counts requests from limitStart after the limit was first sent, by hosts
+// that had passed on a response with it limitNotice before.
 const (
-	limitEvery   = 2 // of so many seeds one has them
-	mostLimits   = 3
-	leastLimited = 5 * time.Second
-	limitLonger  = 6 * time.Second
-	limitSpan    = 4 * time.Second
-	limitOverrun = 1.5
-	limitSlack   = 5
-	limitTold    = 500 * time.Millisecond
-	limitBegins  = 3 * time.Second
-	limitBack    = 20 * time.Second // after the end of all faults a target serves as before
-	limitServed  = 10               // requests, which show that it does
+	limitEvery    = 2 // one seed in this many has them
+	maxLimits     = 3
+	minLimited    = 5 * time.Second
+	limitedSpread = 6 * time.Second
+	limitSpan     = 4 * time.Second
+	limitOverrun  = 1.5
+	limitSlack    = 5
+	limitNotice   = 500 * time.Millisecond
+	limitStart    = 3 * time.Second
+	limitRecovery = 20 * time.Second // after the end of all faults, until a target serves as before
+	limitServed   = 10               // requests that a target must get to count as serving
 )
 
-// limits draws the limits of a seed, apart from its other events.
+// limits draws the limit events of a seed, from a random source of its own.
 func limits(seed uint64) []event {
 	random := rand.New(rand.NewPCG(seed, 6))
 	if random.IntN(limitEvery) != 0 {
 		return nil
 	}
-	return draw(random, limitKind, mostLimits, leastLimited, limitLonger)
+	return draw(random, limitKind, maxLimits, minLimited, limitedSpread)
 }
 
-// namedLimit is a limit that a target names for a time.
+// namedLimit is a limit that a target sends for a time.
 type namedLimit struct {
 	perSecond  float64
 	begin, end time.Time // end is zero while it lasts
 }
 
-// malformedLimits are values that name no limit.
+// malformedLimits are header values that are not valid limits.
 var malformedLimits = [][]string{{"-1"}, {"1e99"}, {"many"}, {"1", "2"}, {""}}
 
-// limited lets some targets of a service name limits, and others values that can't be read.
-func limited(w *world, e event) {
+// nameLimits makes some targets of a service send limits, and others malformed values.
+func nameLimits(w *world, e event) {
 	var named []*targetState
-	for i, s := range struck(w, e) {
+	for i, s := range pickTargets(w, e) {
 		if (e.pick+i)%5 == 4 {
 			s.nameLimit(malformedLimits[e.pick%len(malformedLimits)])
 			named = append(named, s)
@@ -68,7 +68,7 @@
 	}
 }
 
-// beginLimit lets a target name a limit, unless it names one.
+// beginLimit makes a target send a limit. It reports false if the target already sends one.
 func (s *targetState) beginLimit(perSecond float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	return true
 }
 
-// nameLimit lets a target name a value, unless it names one.
+// nameLimit makes a target send the given values, unless it already sends a limit.
 func (s *targetState) nameLimit(values []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,14 +98,14 @@
 	}
 }
 
-// namesLimit puts the limit into an answer.
-func (s *targetState) namesLimit(b *backend.Behaviour) {
+// addLimit adds the target's limit to a response.
+func (s *targetState) addLimit(b *backend.Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b.Limit = s.limit
 }
 
-// checkLimits: targets that name limits get no more from the hosts that know.
+// checkLimits: targets get no more than their limits from hosts that know them.
 func (w *world) checkLimits(calls []call, arrivals map[string][]arrivalAt) {
 	hosts := map[string]*host{}
 	for _, c := range calls {
@@ -122,14 +122,15 @@
 		slices.SortFunc(list, func(a, b arrivalAt) int { return a.at.Compare(b.at) })
 		for _, limit := range s.limits {
 			checked++
-			w.checkLimit(s, limit, list, hosts, told(calls, s, limit))
+			w.checkLimit(s, limit, list, hosts, knownSince(calls, s, limit))
 		}
 	}
 	w.t.Logf("%d limits", checked)
 }
 
-// told is since when each host knows of a limit: it had passed on an answer that names it.
-func told(calls []call, s *targetState, limit namedLimit) map[*host]time.Time {
+// knownSince returns since when each host knows a limit: the time of the first response with it that
+// the host passed on.
+func knownSince(calls []call, s *targetState, limit namedLimit) map[*host]time.Time {
 	since := map[*host]time.Time{}
 	for _, c := range calls {
 		if c.limit == "" || c.stamp != s.id || c.headAt.Before(limit.begin) {
@@ -142,16 +143,16 @@
 	return since
 }
 
-func (w *world) checkLimit(s *targetState, limit namedLimit, list []arrivalAt, hosts map[string]*host, told map[*host]time.Time) {
+func (w *world) checkLimit(s *targetState, limit namedLimit, list []arrivalAt, hosts map[string]*host, known map[*host]time.Time) {
 	allowed := limitOverrun*limitSpan.Seconds()*limit.perSecond + limitSlack
 	var in []arrivalAt
 	for _, a := range list {
 		h := hosts[a.run.ID]
-		since, knows := told[h]
-		if a.at.Before(limit.begin.Add(limitBegins)) || !limit.end.IsZero() && a.at.After(limit.end) {
+		since, knows := known[h]
+		if a.at.Before(limit.begin.Add(limitStart)) || !limit.end.IsZero() && a.at.After(limit.end) {
 			continue
 		}
-		if !knows || a.at.Sub(since) < limitTold || w.watch.excused(h, a.at) {
+		if !knows || a.at.Sub(since) < limitNotice || w.watch.impaired(h, a.at) {
 			continue
 		}
 		in = append(in, a)
@@ -159,16 +160,16 @@
 			in = in[1:]
 		}
 		if float64(len(in)) > allowed {
-			w.watch.violation("limit", "%s names %v a second and got %d requests in %v until %s, the last %s from %s",
+			w.watch.violation("limit", "%s has a limit of %v a second and got %d requests in %v until %s, the last %s from %s",
 				s.id, limit.perSecond, len(in), limitSpan, a.at.Format("15:04:05.000"), a.run.ID, h.name)
 			return
 		}
 	}
 }
 
-// checkLimitsOver: targets that named limits serve as before once all is well again. Plain ones, that
-// is: of engines those get nothing that come first for none of the callers' few prompts.
-func (w *world) checkLimitsOver() {
+// checkLimitsLifted: plain targets that had limits serve as before after recovery. Engines are not
+// checked: one that is the first choice for none of the callers' few prompts gets no requests.
+func (w *world) checkLimitsLifted() {
 	for _, s := range w.allTargets() {
 		s.mu.Lock()
 		wanted := s.service == plainService && len(s.limits) > 0 && s.leftAt.IsZero()
@@ -177,25 +178,25 @@
 			continue
 		}
 		before := s.Arrivals()
-		for deadline := time.Now().Add(limitBack); s.Arrivals()-before < limitServed && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(limitRecovery); s.Arrivals()-before < limitServed && time.Now().Before(deadline); {
 			time.Sleep(50 * time.Millisecond)
 		}
 		s.mu.Lock()
 		left := !s.leftAt.IsZero()
 		s.mu.Unlock()
 		if got := s.Arrivals() - before; got < limitServed && !left {
-			w.watch.violation("limit is over", "%s got %d requests in %v after all was well again", s.id, got, limitBack)
+			w.watch.violation("limit is over", "%s got %d requests in %v after recovery", s.id, got, limitRecovery)
 		}
 	}
 }
 
-// excuse notes that a host is restarted, stands still or is cut off from the store; the function that
-// it gives notes the end.
-func (w *watch) excuse(h *host) (end func()) {
+// impair records that a host is restarted, stalled or cut off from the store. The returned function
+// records the end.
+func (w *watch) impair(h *host) (end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	one := &interval{what: h.name, begin: time.Now()}
-	w.excuses[h] = append(w.excuses[h], one)
+	w.impairments[h] = append(w.impairments[h], one)
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -203,9 +204,9 @@
 	}
 }
 
-// excused says whether a host was in trouble at a moment, or shortly before.
-func (w *watch) excused(h *host, at time.Time) bool {
+// impaired reports whether a host was impaired at a time, or up to settleTime before.
+func (w *watch) impaired(h *host, at time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.ContainsFunc(w.excuses[h], func(i *interval) bool { return i.overlaps(at.Add(-settleTime), at) })
+	return slices.ContainsFunc(w.impairments[h], func(i *interval) bool { return i.overlaps(at.Add(-settleTime), at) })
 }
--- a/proofs/soak/probe_test.go
+++ b/proofs/soak/probe_test.go
@@ -11,10 +11,11 @@
 // Figures of the probes.
 const (
 	probePause   = 250 * time.Millisecond
-	configWithin = 2 * time.Second // a configuration is in force everywhere
+	configWithin = 2 * time.Second // after this time a configuration is in force on all hosts
 )
 
-// probe asks a host again and again which configuration is in force.
+// probe repeatedly checks which configuration is in force on a host, and that it is never an older one
+// than before.
 func (w *world) probe(ctx context.Context, h *host) {
 	client := newClient()
 	random := rand.New(rand.NewPCG(1, uint64(h.number)))
@@ -27,50 +28,49 @@
 		started := h.started
 		h.mu.Unlock()
 		version, published := w.watch.newestVersion()
-		switch w.has(client, h, version, random) {
+		switch w.versionStatus(client, h, version, random) {
 		case http.StatusOK:
 			served = max(served, version)
 		case http.StatusNotFound:
-			w.late(h, version, published, started)
+			w.checkConfigAge(h, version, published, started)
 		}
-		if served > 1 && w.has(client, h, served, random) == http.StatusNotFound && h.same(starts) {
-			w.watch.violation("configuration", "%s went back behind version %d", h.name, served)
+		if served > 1 && w.versionStatus(client, h, served, random) == http.StatusNotFound && h.startedOnce(starts) {
+			w.watch.violation("configuration", "%s reverted to a version before %d", h.name, served)
 		}
 		time.Sleep(probePause)
 	}
 }
 
-// late notes a configuration that is not in force in time at a host that no fault
-// strikes.
-func (w *world) late(h *host, version int64, published, started time.Time) {
+// checkConfigAge records a violation if a configuration is not in force in time on a host and there
+// was no fault.
+func (w *world) checkConfigAge(h *host, version int64, published, started time.Time) {
 	now := time.Now()
-	if version == 1 || now.Sub(published) < configWithin+slack || started.After(published) || !w.watch.calm(published, now) {
+	if version == 1 || now.Sub(published) < configWithin+slack || started.After(published) || !w.watch.faultFree(published, now) {
 		return
 	}
 	w.watch.violation("configuration", "%s does not serve version %d after %v", h.name, version, now.Sub(published).Round(time.Millisecond))
 }
 
-// has asks for the route that a version added and gives the status, 0 without an
-// answer.
-func (w *world) has(client *http.Client, h *host, version int64, random *rand.Rand) int {
+// versionStatus requests the route that a version added and returns the status, 0 without a response.
+func (w *world) versionStatus(client *http.Client, h *host, version int64, random *rand.Rand) int {
 	c := w.send(client, h, fmt.Sprintf("%s%d/", versionPrefix, version), "", random)
 	w.watch.call(c)
 	return c.status
 }
 
-// same says whether the host's process is still the one of a start.
-func (h *host) same(starts int) bool {
+// startedOnce reports whether the host's process was not restarted since its starts-th start.
+func (h *host) startedOnce(starts int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.starts == starts
 }
 
-// recoverWithin bounds the recovery after all faults are over. It is far above what
-// the platform asks for, so that a busy machine does not matter.
+// recoverWithin bounds the recovery after all faults are over. It is far above what the platform
+// requires, so that a busy machine does not matter.
 const recoverWithin = 40 * time.Second
 
-// recovered checks that all hosts serve again, with the newest configuration, and that
-// none sends anything to targets that left.
+// recovered checks that all hosts serve again with the newest configuration. It lets two targets leave
+// first, so that later checks cover requests to targets that left.
 func (w *world) recovered() {
 	for i := range 2 {
 		targetLeaves(w, event{pick: i, part: float64(i)})
@@ -91,8 +91,8 @@
 			}
 			return true
 		})
-		w.eventually(h, "has the newest configuration", func() bool { return w.has(client, h, version, random) == http.StatusOK })
-		w.eventually(h, "refuses the key that was taken away", func() bool {
+		w.eventually(h, "has the newest configuration", func() bool { return w.versionStatus(client, h, version, random) == http.StatusOK })
+		w.eventually(h, "refuses the revoked key", func() bool {
 			c := w.send(client, h, safePath, revokedTenant, random)
 			w.watch.call(c)
 			return c.status == http.StatusUnauthorized
@@ -103,7 +103,7 @@
 	time.Sleep(lastTraffic)
 }
 
-// lastTraffic is how long traffic goes on when all is well again.
+// lastTraffic is how long traffic continues after recovery.
 const lastTraffic = time.Second
 
 func (w *world) eventually(h *host, what string, cond func() bool) {
@@ -112,5 +112,5 @@
 			return
 		}
 	}
-	w.watch.violation("recovery", "%s: not %v after all faults: %s", h.name, recoverWithin, what)
+	w.watch.violation("recovery", "%s: condition not met within %v after all faults: %s", h.name, recoverWithin, what)
 }
--- a/proofs/soak/readers_test.go
+++ b/proofs/soak/readers_test.go
@@ -17,52 +17,53 @@
 	"maststage.dev/platform"
 )
 
-// Figures of readers that stop.
+// Figures of callers that don't read their responses.
 const (
-	readersKind   = "readers stop"
-	readersOf     = 3 // seeds, one has them
-	mostStops     = 3
-	leastReaders  = 10
-	moreReaders   = 50
-	leastStopped  = 2 * time.Second
-	stoppedLonger = 6 * time.Second
+	readersKind     = "readers stop"
+	readersEvery    = 3 // one seed in this many has them
+	maxReaderStalls = 3
+	minReaders      = 10
+	readersSpread   = 50
+	minStalled      = 2 * time.Second
+	stalledSpread   = 6 * time.Second
 
 	readers      = 400
-	readersBegin = 4 * time.Second  // over which they come, most at once
-	readersStay  = 10 * time.Second // after the last came
-	hostMemory   = 112 << 20        // of the smallest host, in bytes
+	readersBegin = 4 * time.Second  // within which they connect, half of them at once
+	readersStay  = 10 * time.Second // after the last has connected
+	hostMemory   = 112 << 20        // memory of the smallest host, in bytes
 	largeQuery   = "?large"
 )
 
-// stops draws the readers of a seed that stop, apart from its other events. They are no fault:
-// nobody else's promise depends on them.
-func stops(seed uint64) []event {
+// readerStalls draws the events of a seed in which callers stop reading, from a random source of its
+// own. They are not faults: no guarantee to other callers depends on them.
+func readerStalls(seed uint64) []event {
 	random := rand.New(rand.NewPCG(seed, 7))
-	if random.IntN(readersOf) != 0 {
+	if random.IntN(readersEvery) != 0 {
 		return nil
 	}
-	return draw(random, readersKind, mostStops, leastStopped, stoppedLonger)
+	return draw(random, readersKind, maxReaderStalls, minStalled, stalledSpread)
 }
 
-// readersStop lets callers of a host ask for large answers and read none, until they go.
-func readersStop(w *world, e event) {
+// stallReaders connects callers to a host that request large responses and read nothing until they
+// disconnect.
+func stallReaders(w *world, e event) {
 	h := w.hosts[e.pick%len(w.hosts)]
-	for range leastReaders + int(e.part*moreReaders) {
-		if conn, err := w.stopReading(h); err == nil { // else the host is down
+	for range minReaders + int(e.part*readersSpread) {
+		if conn, err := w.requestUnread(h); err == nil { // otherwise the host is down
 			defer conn.Close()
 		}
 	}
 	time.Sleep(e.length)
 }
 
-// largeBody is the answer to requests of those readers, in bytes: more than connections buffer.
+// largeBody is the response to these callers. It is larger than the buffers of a connection.
 var largeBody = strings.Repeat("x", 200<<10)
 
 func isLarge(uri string) bool { return strings.HasSuffix(uri, largeQuery) }
 
-// Hundreds of callers that ask for large answers and never read them do not use up a host's
-// memory, and callers beside them are served as ever.
-func TestReadersThatStopForGood(t *testing.T) {
+// Guards against a host running out of memory when hundreds of callers request large responses and
+// never read them. Other callers are served as usual meanwhile.
+func TestStalledReadersDoNotExhaustMemory(t *testing.T) {
 	const seed = 1
 	w := newWorld(t, 2, seed)
 	ctx, stop := context.WithCancel(context.Background())
@@ -72,7 +73,7 @@
 	var peak int64
 	all.Go(func() { peak = w.hosts[0].peakMemory(ctx) })
 	for i := range readers {
-		conn, err := w.stopReading(w.hosts[0])
+		conn, err := w.requestUnread(w.hosts[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,16 +85,16 @@
 	time.Sleep(readersStay)
 	stop()
 	all.Wait()
-	t.Logf("memory at most %d MB", peak>>20)
+	t.Logf("peak memory %d MB", peak>>20)
 	if peak == 0 || peak > hostMemory {
-		t.Errorf("the host had %d bytes in memory, %d are its own", peak, hostMemory)
+		t.Errorf("the host used %d bytes of memory, it may use %d", peak, hostMemory)
 	}
 	w.check()
 	w.report(seed, nil)
 }
 
-// stopReading sends a request for a large answer on a connection of its own.
-func (w *world) stopReading(h *host) (net.Conn, error) {
+// requestUnread sends a request for a large response on a new connection, which it returns unread.
+func (w *world) requestUnread(h *host) (net.Conn, error) {
 	conn, err := (&net.Dialer{Control: smallBuffers}).Dial("tcp", h.listen)
 	if err != nil {
 		return nil, err
@@ -104,8 +105,8 @@
 	return conn, err
 }
 
-// smallBuffers lets a connection over the loopback buffer as little as one over a network: its
-// segments are of 64 KB else, and a host's kernel takes a megabyte that nobody reads.
+// smallBuffers makes a loopback connection buffer as little as one over a network. Its segments would
+// otherwise be 64 KB, and the host's kernel would buffer a megabyte that is never read.
 func smallBuffers(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 1400)
@@ -113,7 +114,8 @@
 	})
 }
 
-// peakMemory follows the memory of a host's process until ctx ends, in bytes.
+// peakMemory samples the resident memory of a host's process until ctx ends and returns the peak in
+// bytes.
 func (h *host) peakMemory(ctx context.Context) (peak int64) {
 	for ctx.Err() == nil {
 		peak = max(peak, residentBytes(h.process.Process.Pid))
@@ -122,7 +124,7 @@
 	return peak
 }
 
-// residentBytes is what of a process lies in memory, 0 if that can't be told.
+// residentBytes returns the resident memory of a process, or 0 if it can't be read.
 func residentBytes(pid int) int64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/proofs/soak/soak_test.go
+++ b/proofs/soak/soak_test.go
@@ -1,8 +1,7 @@
-// Package soak runs the router's real program as several processes, with traffic,
-// and lets faults drawn from a seed strike them from outside: signals, proxies that
-// delay, reset, cut one way or silence connections, a store and targets that misbehave,
-// planned work in series. It checks the promises of the product from what callers and
-// targets see. docs/SOAK.md says how to run it and what it found.
+// Package soak runs the router's real program as several processes under traffic and injects
+// faults that a seed determines: signals, proxies that delay, reset, cut one way or silence
+// connections, a faulty store, faulty targets, and repeated planned work. It checks the product's
+// guarantees from what callers and targets see. docs/SOAK.md says how to run it and what it found.
 package soak
 
 import (
@@ -24,16 +23,16 @@
 	log "github.com/sirupsen/logrus"
 )
 
-// Flags of a soak by hand.
+// Flags of a manual soak run.
 var (
-	seeds    = flag.Int("soak.seeds", 0, "fresh seeds to run")
-	minutes  = flag.Float64("soak.minutes", 0, "begin seeds for so long, whatever soak.seeds says")
-	oneSeed  = flag.Uint64("soak.seed", 0, "run this seed alone")
-	keepLogs = flag.String("soak.logs", "", "folder for the logs of seeds that failed")
-	together = flag.Int("soak.parallel", 2, "seeds at the same time")
+	seeds         = flag.Int("soak.seeds", 0, "number of random seeds to run")
+	minutes       = flag.Float64("soak.minutes", 0, "start random seeds for this many minutes; overrides soak.seeds")
+	oneSeed       = flag.Uint64("soak.seed", 0, "run only this seed")
+	keepLogs      = flag.String("soak.logs", "", "folder for the logs of seeds that failed")
+	parallelSeeds = flag.Int("soak.parallel", 2, "number of seeds that run in parallel")
 )
 
-// program is the router's binary.
+// program is the path of the router's binary.
 var program string
 
 func TestMain(m *testing.M) {
@@ -50,23 +49,23 @@
 	defer os.RemoveAll(dir)
 	program = filepath.Join(dir, "maststage-router")
 	if out, err := exec.Command("go", "build", "-o", program, "maststage.dev/cmd/maststage-router").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "build failed: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
 }
 
-// Numbers of hosts.
+// Numbers of hosts in a seed.
 const (
-	usualHosts = 5
-	manyHosts  = 16
-	manyEvery  = 10 // one seed of so many has many hosts
+	usualHosts     = 5
+	manyHosts      = 16
+	manyHostsEvery = 10 // one seed in this many has manyHosts
 )
 
-// plannedWork are the kinds of events that are no faults.
+// plannedWork lists the kinds of events that are not faults.
 var plannedWork = []string{"config", "config storm", "hangup", "target leaves", "target new", "term", "term all", "top up"}
 
-// plannedEvery is of how many seeds one has planned work only.
+// One seed in plannedEvery has only planned work.
 const plannedEvery = 5
 
 func kindsOf(random *rand.Rand) []string {
@@ -81,37 +80,37 @@
 	return all
 }
 
-// thinEvery is of how many seeds one has thin links and a large configuration.
-const thinEvery = 3
+// One seed in slowLinksEvery has slow links and a large configuration.
+const slowLinksEvery = 3
 
-// thin says whether the hosts of a seed have thin links. It is drawn apart from the
-// events, which stay what they are for a seed.
-func thin(seed uint64) bool { return rand.New(rand.NewPCG(seed, 2)).IntN(thinEvery) == 0 }
+// hasSlowLinks reports whether the hosts of a seed have slow links. It uses a random source of its
+// own, so that the events of a seed stay the same.
+func hasSlowLinks(seed uint64) bool { return rand.New(rand.NewPCG(seed, 2)).IntN(slowLinksEvery) == 0 }
 
-// runSeed runs one seed and fails the test if a promise was broken.
+// runSeed runs one seed and fails the test if a guarantee was violated.
 func runSeed(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	hosts := usualHosts
-	if random.IntN(manyEvery) == 0 {
+	if random.IntN(manyHostsEvery) == 0 {
 		hosts = manyHosts
 	}
 	events := schedule(random)
-	events = append(events, hushes(seed, events)...)
+	events = append(events, silences(seed, events)...)
 	events = append(events, evacuations(seed)...)
 	events = append(events, deadlies(seed, events)...)
 	events = append(events, limits(seed)...)
-	events = append(events, stops(seed)...)
+	events = append(events, readerStalls(seed)...)
 	w := newWorld(t, hosts, seed)
-	if thin(seed) {
-		w.thinLinks()
-		w.grow()
+	if hasSlowLinks(seed) {
+		w.slowDownLinks()
+		w.addManyRoutes()
 	}
 	w.playAll(events, seed)
 	w.check()
 	w.report(seed, events)
 }
 
-// playAll plays the events under traffic, and then looks whether all recover.
+// playAll runs the events under traffic, then checks that all hosts recover.
 func (w *world) playAll(events []event, seed uint64) {
 	ctx, stop := context.WithCancel(context.Background())
 	var traffic sync.WaitGroup
@@ -122,17 +121,17 @@
 	w.play(ctx, events)
 	w.recovered()
 	w.checkDeadly(events)
-	w.checkLimitsOver()
+	w.checkLimitsLifted()
 	stop()
 	traffic.Wait()
 	w.endReplacing()
 }
 
-// report tells of broken promises and keeps the logs of hosts.
+// report fails the test with the violations, and keeps the hosts' logs if a folder for them is set.
 func (w *world) report(seed uint64, events []event) {
 	w.watch.mu.Lock()
 	defer w.watch.mu.Unlock()
-	w.t.Logf("seed %d: %d hosts, thin links %v, %d events, %d requests, %d runs of deadly ones", seed, len(w.hosts), thin(seed), len(events), len(w.watch.calls), len(w.watch.deadly))
+	w.t.Logf("seed %d: %d hosts, slow links %v, %d events, %d requests, %d runs of deadly requests", seed, len(w.hosts), hasSlowLinks(seed), len(events), len(w.watch.calls), len(w.watch.deadly))
 	if len(w.watch.violations) == 0 {
 		return
 	}
@@ -152,7 +151,7 @@
 	}
 }
 
-// TestSoak runs fresh seeds by hand: -soak.seeds, -soak.minutes or -soak.seed.
+// TestSoak runs seeds as the flags -soak.seeds, -soak.minutes and -soak.seed say; none by default.
 func TestSoak(t *testing.T) {
 	if *oneSeed != 0 {
 		runSeed(t, *oneSeed)
@@ -165,13 +164,13 @@
 		}
 		return n < *seeds
 	}
-	places := make(chan struct{}, max(*together, 1))
+	slots := make(chan struct{}, max(*parallelSeeds, 1))
 	var all sync.WaitGroup
 	n := 0
 	for ; wanted(n); n++ {
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			seed := rand.Uint64()>>1 | 1
 			t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSeed(t, seed) })
 		})
@@ -180,8 +179,7 @@
 	t.Logf("%d fresh seeds", n)
 }
 
-// fixedSeeds are run in CI. Between them they have planned work only, many hosts and
-// all kinds of faults.
+// fixedSeeds run in CI. Together they cover planned work alone, many hosts and all kinds of faults.
 var fixedSeeds = []uint64{1, 2, 3}
 
 func TestFixedSeeds(t *testing.T) {
--- a/proofs/soak/watch_test.go
+++ b/proofs/soak/watch_test.go
@@ -8,37 +8,37 @@
 	"maststage.dev/standin/backend"
 )
 
-// watch notes what callers and targets see, and the promises that were broken.
+// watch records what callers and targets see, and the violated guarantees.
 type watch struct {
 	mu          sync.Mutex
 	calls       []call
 	arrivals    map[string][]arrivalAt // by request id
-	budgets     map[string]int64       // the most that an organisation was ever allowed
+	budgets     map[string]int64       // the largest budget that an organisation ever had
 	versions    map[int64]time.Time    // when each was published
 	newest      int64
 	faults      []interval
 	stops       []interval
-	evacuations []interval            // by failure domain, from the store's answer on
+	evacuations []interval            // by failure domain, from the store's response on
 	deadly      []time.Time           // arrivals of deadly requests
-	excuses     map[*host][]*interval // restarts, pauses and cuts of hosts
-	wellAgain   time.Time             // all hosts serve again and know which targets left
-	violations  map[string][]string   // by promise
+	impairments map[*host][]*interval // restarts, stalls and cut connections of hosts
+	recoveredAt time.Time             // when all hosts served again and knew which targets left
+	violations  map[string][]string   // by guarantee
 }
 
-// arrivalAt is a request at a target.
+// arrivalAt is the arrival of a request at a target.
 type arrivalAt struct {
 	target *targetState
 	at     time.Time
 	run    backend.Run
 }
 
-// interval is a time, open if end is zero.
+// interval is a span of time, still open if end is zero.
 type interval struct {
 	what       string
 	begin, end time.Time
 }
 
-// overlaps says whether the interval has a moment in common with the span.
+// overlaps reports whether the interval and the span overlap.
 func (i interval) overlaps(begin, end time.Time) bool {
 	return i.begin.Before(end) && (i.end.IsZero() || i.end.After(begin))
 }
@@ -46,7 +46,7 @@
 func newWatch() *watch {
 	return &watch{
 		arrivals: map[string][]arrivalAt{}, budgets: map[string]int64{}, versions: map[int64]time.Time{},
-		violations: map[string][]string{}, excuses: map[*host][]*interval{},
+		violations: map[string][]string{}, impairments: map[*host][]*interval{},
 	}
 }
 
@@ -75,17 +75,17 @@
 	w.newest = version
 }
 
-// newestVersion is the version published last, and when.
+// newestVersion returns the version published last and its time.
 func (w *watch) newestVersion() (int64, time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.newest, w.versions[w.newest]
 }
 
-// fault notes the begin of a fault; the function that it gives notes the end.
+// fault records the begin of a fault. The returned function records the end.
 func (w *watch) fault(what string) (end func()) { return w.note(&w.faults, what) }
 
-// stop notes a planned stop, which is no fault.
+// stop records a graceful shutdown, which is not a fault.
 func (w *watch) stop(what string) (end func()) { return w.note(&w.stops, what) }
 
 func (w *watch) note(list *[]interval, what string) (end func()) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// calm says whether no fault was at work in a span or shortly before it.
-func (w *watch) calm(begin, end time.Time) bool {
+// faultFree reports whether there was no fault in a span, nor within settleTime before it.
+func (w *watch) faultFree(begin, end time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, f := range w.faults {
@@ -112,20 +112,20 @@
 	return true
 }
 
-// recovered notes that all faults and what came of them are over.
+// recovered records that all faults and their effects are over.
 func (w *watch) recovered() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wellAgain = time.Now()
+	w.recoveredAt = time.Now()
 }
 
-// settleTime is how long a fault is felt after its end.
+// settleTime is how long a fault has effects after its end.
 const settleTime = 3 * time.Second
 
-// maxShown bounds the violations of one promise that are kept.
+// maxShown bounds the violations kept for each guarantee.
 const maxShown = 5
 
-// violation notes a broken promise.
+// violation records that a guarantee was violated.
 func (w *watch) violation(promise, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/proofs/soak/world_test.go
+++ b/proofs/soak/world_test.go
@@ -21,9 +21,9 @@
 	"maststage.dev/standin/memlog"
 )
 
-// Bounds of the settings that hosts run with.
+// Bounds in the hosts' settings, and other figures of the cluster.
 const (
-	drainWithin   = time.Second // a leaving target gets nothing new after it
+	drainWithin   = time.Second // after this time a leaving target gets no new requests
 	graceTime     = 3 * time.Second
 	retryRatio    = 0.2
 	retrySlack    = 20
@@ -31,7 +31,7 @@
 	startTime     = 10 * time.Second
 	restartPause  = 200 * time.Millisecond
 	logPartitions = 4
-	accountEvery  = 100 * time.Millisecond // between lines about the budgets held
+	accountEvery  = 100 * time.Millisecond // interval of the log lines about the budgets held
 )
 
 // Services, and the number of targets of each.
@@ -43,7 +43,7 @@
 	targetSlots   = 32
 )
 
-// world is one deployment: hosts as processes, everything else in the test.
+// world is one cluster: the hosts are processes, everything else runs in the test.
 type world struct {
 	t       *testing.T
 	dir     string
@@ -52,10 +52,10 @@
 	hosts   []*host
 	watch   *watch
 
-	thin bool // hosts have thin links, and the configuration is large
+	slowLinks bool // hosts have slow links, and the configuration is large
 
-	replacing sync.WaitGroup // of targets that ended
-	over      bool           // no target is replaced any more
+	replacing sync.WaitGroup // targets that are being replaced after they crashed
+	stopped   bool           // targets are no longer replaced
 
 	publishing sync.Mutex // held while a configuration waits to be published
 
@@ -63,10 +63,10 @@
 	targets []*targetState
 	nextID  int
 	config  platformtest.Config
-	random  *rand.Rand // of the behaviour of targets
+	random  *rand.Rand // for the behaviour of targets
 }
 
-// host is one maststage-router.
+// host is one maststage-router process.
 type host struct {
 	world                *world
 	number               int
@@ -75,10 +75,10 @@
 	store                *faultlink.Link // between the host and the store
 
 	mu      sync.Mutex
-	busy    bool // a fault of its process is under way
+	busy    bool // a fault of its process is in progress
 	process *exec.Cmd
 	ended   chan struct{}
-	ending  bool // its end is expected
+	ending  bool // its exit is expected
 	started time.Time
 	starts  int
 }
@@ -87,23 +87,22 @@
 type targetState struct {
 	*backend.Backend
 	id, service, zone string
-	way               *faultlink.Link // from hosts to it
+	link              *faultlink.Link // between the hosts and it
 	mu                sync.Mutex
-	behave            func(*backend.Behaviour) // a fault, nil if there is none
-	leftAt            time.Time                // when the store had it that the target leaves
-	limit             []string                 // what it names as its limit
-	limits            []namedLimit             // that it has named
+	alter             func(*backend.Behaviour) // the injected fault, nil without one
+	leftAt            time.Time                // when the store had the entry that the target leaves
+	limit             []string                 // the limit that it sends
+	limits            []namedLimit             // all limits that it has sent
 }
 
-// Loopback networks of worlds.
+// Loopback networks of clusters.
 const (
 	firstNetwork = 20
 	lastNetwork  = 250
-	lockAddress  = "%s.255.254:9000" // who listens there has the network
+	lockAddress  = "%s.255.254:9000" // whoever listens there owns the network
 )
 
-// takeNetwork finds loopback addresses that no other world uses, of this process or
-// of another one.
+// takeNetwork reserves a loopback network that no other cluster uses, in this process or another.
 func takeNetwork(t *testing.T) string {
 	for number := firstNetwork; number <= lastNetwork; number++ {
 		network := fmt.Sprintf("127.%d", number)
@@ -114,11 +113,11 @@
 		t.Cleanup(func() { _ = lock.Close() })
 		return network
 	}
-	t.Fatal("no loopback network is free")
+	t.Fatal("all loopback networks are in use")
 	return ""
 }
 
-// newWorld starts a deployment of n hosts.
+// newWorld starts a cluster of n hosts.
 func newWorld(t *testing.T, n int, seed uint64) *world {
 	w := &world{
 		t: t, dir: t.TempDir(), network: takeNetwork(t), log: memlog.New(),
@@ -143,12 +142,12 @@
 	return w
 }
 
-// address gives an address of this world.
+// address returns an address of this cluster.
 func (w *world) address(part, number int) string {
 	return fmt.Sprintf("%s.%d.%d:9000", w.network, part, number+1)
 }
 
-// Parts of a world's network.
+// Parts of a cluster's network.
 const (
 	storePart = 1 + iota
 	storeLinkPart
@@ -173,25 +172,25 @@
 	w.t.Cleanup(h.kill)
 }
 
-// thinRate is what a connection over a thin link carries, in bytes a second: an eighth of a
-// link of 10 Mbit/s, which the callers share.
-const thinRate = 150e3
+// slowLinkRate is the throughput of a connection over a slow link, in bytes a second: an eighth of a
+// 10 Mbit/s link, which is shared with callers.
+const slowLinkRate = 150e3
 
-// thinLinks bounds what each connection of hosts to the store carries towards the host. It
-// is no fault, and lasts.
-func (w *world) thinLinks() {
-	w.thin = true
+// slowDownLinks limits the throughput from the store to the host on each connection. It is not a
+// fault and lasts for the whole seed.
+func (w *world) slowDownLinks() {
+	w.slowLinks = true
 	for _, h := range w.hosts {
-		h.store.Inject(faultlink.Fault{PerSecond: thinRate})
+		h.store.Inject(faultlink.Fault{PerSecond: slowLinkRate})
 	}
 }
 
-// seeds are the peer addresses that settings name.
+// seeds returns the peer addresses for the hosts' settings.
 func (w *world) seeds() string {
 	return strings.Join([]string{w.address(peersPart, 0), w.address(peersPart, 1)}, ",")
 }
 
-// writeSettings writes the host's settings file and gives its path.
+// writeSettings writes the host's settings file and returns its path.
 func (h *host) writeSettings() string {
 	path := filepath.Join(h.world.dir, h.name+".ini")
 	text := fmt.Sprintf("[host]\nname = %s\ndomain = %s\nlisten = %s\nready_listen = %s\npeer_listen = %s\nseeds = %s\n"+
@@ -206,7 +205,7 @@
 	return path
 }
 
-// start starts the host's process, which must not run.
+// start starts the host's process, which must not be running.
 func (h *host) start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -229,7 +228,7 @@
 
 func (h *host) logFile() string { return filepath.Join(h.world.dir, h.name+".log") }
 
-// wait notices the end of a process.
+// wait waits until a process exits and records a violation if that was not expected.
 func (h *host) wait(process *exec.Cmd, out *os.File, ended chan struct{}) {
 	err := process.Wait()
 	_ = out.Close()
@@ -237,19 +236,19 @@
 	expected := h.ending
 	h.mu.Unlock()
 	if !expected {
-		h.world.watch.violation("own end", "%s ended by itself: %v", h.name, err)
+		h.world.watch.violation("own end", "%s exited unexpectedly: %v", h.name, err)
 	}
 	close(ended)
 }
 
-// processStarter starts processes from a thread of its own, which lives as long as the
-// test: a process that is to end with its parent ends with the thread that started it.
+// processStarter starts processes from one thread that lives as long as the test: with Pdeathsig a
+// process is killed when the thread that started it exits.
 type processStarter struct {
 	once  sync.Once
 	queue chan startRequest
 }
 
-// startRequest is a process to start.
+// startRequest asks for the start of a process.
 type startRequest struct {
 	process *exec.Cmd
 	started chan error
@@ -271,16 +270,16 @@
 	}
 }
 
-// signal sends a signal; ends says that the process is expected to end.
+// signal sends a signal. ends says that the process is expected to exit.
 func (h *host) signal(s syscall.Signal, ends bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ending = h.ending || ends
-	// The process may have ended already.
+	// The process may have exited already.
 	_ = h.process.Process.Signal(s)
 }
 
-// waitEnd waits for the end of the process.
+// waitEnd waits until the process has exited and reports whether it has within limit.
 func (h *host) waitEnd(limit time.Duration) bool {
 	h.mu.Lock()
 	ended := h.ended
@@ -293,7 +292,7 @@
 	}
 }
 
-// kill ends the process if it runs.
+// kill kills the process if it is running and waits until it has exited.
 func (h *host) kill() {
 	if h.process == nil {
 		return
@@ -302,7 +301,7 @@
 	h.waitEnd(startTime)
 }
 
-// waitListening waits until the host takes connections.
+// waitListening waits until the host accepts connections and reports whether it does within limit.
 func (h *host) waitListening(limit time.Duration) bool {
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		c, err := net.DialTimeout("tcp", h.listen, time.Second)
@@ -314,7 +313,7 @@
 	return false
 }
 
-// addTarget starts a target and lists it.
+// addTarget starts a target and writes its entry.
 func (w *world) addTarget(service string) {
 	w.mu.Lock()
 	number := w.nextID
@@ -335,7 +334,7 @@
 		w.endReplacing() // also if the test ended early
 		b.Close()
 	})
-	s.way = faultlink.Open(w.t, faultlink.Options{Listen: w.address(targetLinkPart, number), To: b.Address()})
+	s.link = faultlink.Open(w.t, faultlink.Options{Listen: w.address(targetLinkPart, number), To: b.Address()})
 	w.mu.Lock()
 	w.targets = append(w.targets, s)
 	w.mu.Unlock()
@@ -346,21 +345,21 @@
 // list writes a target's entry.
 func (w *world) list(s *targetState, state string) {
 	w.log.Put(platformtest.Servers, s.id, platformtest.Encode(platformtest.Server{
-		Service: s.service, Address: s.way.Address(), Zone: s.zone, State: state, Slots: targetSlots,
+		Service: s.service, Address: s.link.Address(), Zone: s.zone, State: state, Slots: targetSlots,
 	}))
 }
 
-// Times of a target without a fault.
+// Response times of a target without a fault.
 const (
 	engineDelay = 15 * time.Millisecond
 	eventGap    = 15 * time.Millisecond
 	plainDelay  = 5 * time.Millisecond
 )
 
-// behaviour notes an arrival and says how the target answers it.
+// behaviour records the arrival of a request and returns how the target responds to it.
 func (w *world) behaviour(s *targetState, run backend.Run) backend.Behaviour {
 	if isDeadly(run.URI) {
-		return w.endDeadly()
+		return w.crashBehaviour()
 	}
 	if isLarge(run.URI) {
 		return backend.Behaviour{Delay: plainDelay, Body: largeBody}
@@ -370,9 +369,9 @@
 	if s.service == engineService {
 		b = backend.Behaviour{Delay: engineDelay, Gap: eventGap, Events: eventsOf(run.ID)}
 	}
-	s.namesLimit(&b)
+	s.addLimit(&b)
 	s.mu.Lock()
-	fault := s.behave
+	fault := s.alter
 	s.mu.Unlock()
 	if fault != nil {
 		w.mu.Lock()
@@ -382,14 +381,14 @@
 	return b
 }
 
-// allTargets copies the list of targets, those that left included.
+// allTargets returns a copy of the list of targets, including those that left.
 func (w *world) allTargets() []*targetState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*targetState(nil), w.targets...)
 }
 
-// readyTargets lists the targets of a service that did not leave.
+// readyTargets returns the targets of a service that have not left.
 func (w *world) readyTargets(service string) []*targetState {
 	var list []*targetState
 	for _, s := range w.allTargets() {
