--- a/router/limit/notice.go
+++ b/router/limit/notice.go
@@ -30,7 +30,7 @@
 // maxAgeMs is an hour, longer than any host waits before it writes a notice.
 const maxAgeMs = 60 * 60 * 1000
 
-// Record encodes the notice as a record of the topic. The record of a limit that has ended is a deletion.
+// Record encodes the notice as a record of the log. The record of a limit that has ended is a deletion.
 func (n Notice) Record() (eventlog.Record, error) {
 	rec := eventlog.Record{Key: KeyPrefix + n.Target}
 	if !n.InForce {
@@ -41,7 +41,7 @@
 	return rec, err
 }
 
-// ParseNotice decodes a record of the topic. ok is false for records of other kinds.
+// ParseNotice decodes a record of the log. ok is false for records of other kinds.
 func ParseNotice(rec eventlog.Record) (n Notice, ok bool, err error) {
 	id, ok := strings.CutPrefix(rec.Key, KeyPrefix)
 	if !ok {
--- a/router/target/cold_test.go
+++ b/router/target/cold_test.go
@@ -142,7 +142,7 @@
 	is.True(!r.HasCandidate(target.Requirements{Service: "s"}))
 }
 
-// Guards against a cold target whose entry lapsed and that gets any number of requests as the last one left.
+// Guards against a cold target whose entry lapsed and that gets any number of requests as the only target left.
 func TestColdLimitHoldsForLeavingTarget(t *testing.T) {
 	is := is.New(t)
 	r := target.NewRegistry(target.Options{DrainLimit: time.Minute})
--- a/router/target/exit.go
+++ b/router/target/exit.go
@@ -21,7 +21,7 @@
 	// probeTimeout bounds the connection attempt. A live target responds within a round trip.
 	probeTimeout = 300 * time.Millisecond
 	// probeMaxAge is how long the result of a probe that found the target alive is reused. One exit
-	// breaks all requests there within some ms; a later break needs a probe of its own.
+	// breaks all requests there within a few milliseconds; a later break needs a probe of its own.
 	probeMaxAge = 50 * time.Millisecond
 )
 
@@ -37,7 +37,7 @@
 // ProbeExited reports whether a target's process has exited, after a request broke off there: its address
 // refuses connections. The probe is a new connection, which is kept for requests if it succeeds. A single
 // broken connection, a network cut or an overloaded link doesn't count as an exit, nor does the planned
-// exit of a target that was known to leave. Data that other requests still read is no evidence against an
+// exit of a target that was known to be leaving. Data that other requests still read is no evidence against an
 // exit: it may have been in flight. ProbeExited returns false if ctx ends first.
 func (r *Registry) ProbeExited(ctx context.Context, t *Target) bool {
 	probe, owner := r.joinProbe(t)
--- a/router/target/health.go
+++ b/router/target/health.go
@@ -55,12 +55,12 @@
 
 // serviceStats aggregates the targets of a service.
 type serviceStats struct {
-	failureRate   float64 // smoothed
-	medianLatency float64 // median of the targets' smoothed latencies, in seconds
-	latencyAt     time.Time
-	meanPrompt    float64 // smoothed prompt length in tokens
-	medianGap     float64 // median of the targets' median gaps, in seconds
-	gapAt         time.Time
+	failureRate   float64   // smoothed
+	medianLatency float64   // median of the targets' smoothed latencies, in seconds
+	latencyAt     time.Time // when medianLatency was updated
+	meanPrompt    float64   // smoothed prompt length in tokens
+	medianGap     float64   // median of the targets' median gaps, in seconds
+	gapAt         time.Time // when medianGap was updated
 }
 
 // medianInterval is the minimum time between two updates of a median.
@@ -119,7 +119,7 @@
 	return now.Sub(since) > silenceLimit
 }
 
-// RecordFirstByte records that the target has processed the prompt and began its response after the given
+// RecordFirstByte records that the target has processed the prompt and begun its response after the given
 // latency.
 func (r *Registry) RecordFirstByte(t *Target, work float64, latency time.Duration) {
 	r.mu.Lock()
--- a/router/target/limit.go
+++ b/router/target/limit.go
@@ -24,14 +24,15 @@
 	minPerSecond = 0.1
 	// refusalLimitWait is how long a limit that only refusals advertise stays unchanged without a refusal: a
 	// host that was refused informs the others within this time. Then the limit is raised by
-	// refusalRaiseFactor, and a target that still has it refuses some requests. After maxRaises it ends.
+	// refusalRaiseFactor, and a target that still has the limit refuses some requests. After maxRaises it ends.
 	refusalLimitWait   = 8 * time.Second
 	refusalRaiseFactor = 1.4
 	maxRaises          = 3
 	// minSharingHosts is how many hosts share even a very low limit: the share of a host that exits is lost
 	// until the others have forgotten the host.
 	minSharingHosts = 5
-	// sharedLimitPause is how often each host should send when more hosts than the minimum share a limit.
+	// sharedLimitPause is the time between two requests of each host when more hosts than the minimum share a
+	// limit.
 	sharedLimitPause = 2 * time.Second
 	// limitLogLinesPerSecond bounds log lines about limits, which a target may change with each response.
 	limitLogLinesPerSecond = 20
--- a/router/target/limit_test.go
+++ b/router/target/limit_test.go
@@ -118,12 +118,12 @@
 	return r
 }
 
-// countChoices counts how often the only target of a service is chosen within a time, and records its response.
-func countChoices(r *target.Registry, d time.Duration, said limit.Advertisement) (n int) {
+// countChoices counts how often the only target of a service is chosen within a duration, and records its response.
+func countChoices(r *target.Registry, d time.Duration, advertised limit.Advertisement) (n int) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if t := r.Choose(target.Requirements{Service: "s"}); t != nil {
 			n++
-			r.RecordLimit(t, said)
+			r.RecordLimit(t, advertised)
 		}
 	}
 	return n
--- a/router/target/limitfleet_test.go
+++ b/router/target/limitfleet_test.go
@@ -175,7 +175,7 @@
 	t.advertised = limit.Advertisement{}
 }
 
-// run simulates callers for a time.
+// run simulates callers for the given duration.
 func (f *limitFleet) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(fleetStep) {
 		f.deliver()
@@ -320,7 +320,7 @@
 	return part, sends
 }
 
-// sent counts the requests that the target got in a time.
+// sent counts the requests that the target got between two times.
 func (t *limitedTarget) sent(from, to time.Time) int {
 	n := 0
 	for _, s := range t.sends {
--- a/router/target/shed.go
+++ b/router/target/shed.go
@@ -7,9 +7,9 @@
 )
 
 // If all targets of a service that could take a request advertise limits, more requests may arrive than they
-// accept together. Then this host sheds load by priority: requests are admitted at random from the rate that
-// the more urgent requests of the last seconds leave. Each priority keeps a minimum share, so that none
-// starves. A request that is shed gets a refusal with a retry time at once.
+// accept together. Then this host sheds load by priority: a random part of a priority's requests is admitted,
+// as many as fit the rate that the more urgent requests of the last seconds leave. Each priority keeps a
+// minimum share, so that none starves. A request that is shed gets a refusal with a retry time at once.
 
 // Parameters of load shedding.
 const (
@@ -30,7 +30,7 @@
 func priorityOf(w Requirements) int { return min(max(w.Priority, 0), priorities-1) }
 
 // record counts the arrival of a request.
-func (q *shedder) record(rank int, now time.Time) {
+func (q *shedder) record(priority int, now time.Time) {
 	if !q.at.IsZero() {
 		kept := math.Exp(-now.Sub(q.at).Seconds() / arrivalDecay.Seconds())
 		for i := range q.arrivalRates {
@@ -38,41 +38,41 @@
 		}
 	}
 	q.at = now
-	q.arrivalRates[rank] += 1 / arrivalDecay.Seconds()
+	q.arrivalRates[priority] += 1 / arrivalDecay.Seconds()
 }
 
 // moreUrgentRate is the arrival rate of requests more urgent than the priority.
-func (q *shedder) moreUrgentRate(rank int) (perSecond float64) {
-	for _, seen := range q.arrivalRates[:rank] {
+func (q *shedder) moreUrgentRate(priority int) (perSecond float64) {
+	for _, seen := range q.arrivalRates[:priority] {
 		perSecond += seen
 	}
 	return perSecond
 }
 
 // remainingRate is what the more urgent requests leave of a rate, or the minimum share of the priority.
-func (q *shedder) remainingRate(rank int, perSecond float64) float64 {
-	return max(perSecond-q.moreUrgentRate(rank), minPriorityShare*perSecond)
+func (q *shedder) remainingRate(priority int, perSecond float64) float64 {
+	return max(perSecond-q.moreUrgentRate(priority), minPriorityShare*perSecond)
 }
 
 // admit reports whether a request is admitted at a host that may send perSecond requests.
-func (q *shedder) admit(rank int, perSecond float64) bool {
-	return q.moreUrgentRate(rank) == 0 || rand.Float64()*q.arrivalRates[rank] < q.remainingRate(rank, perSecond)
+func (q *shedder) admit(priority int, perSecond float64) bool {
+	return q.moreUrgentRate(priority) == 0 || rand.Float64()*q.arrivalRates[priority] < q.remainingRate(priority, perSecond)
 }
 
 // retryAfter returns the time after which a refused request is likely to be admitted, later than the refused
 // ones of its priority before it.
-func (q *shedder) retryAfter(rank int, perSecond float64, now time.Time) time.Duration {
-	left := q.remainingRate(rank, perSecond)
+func (q *shedder) retryAfter(priority int, perSecond float64, now time.Time) time.Duration {
+	left := q.remainingRate(priority, perSecond)
 	last := now
-	if q.nextRetry[rank].After(now) {
-		last = q.nextRetry[rank]
+	if q.nextRetry[priority].After(now) {
+		last = q.nextRetry[priority]
 	}
 	after := maxRetryAfter
 	if left > 0 {
 		after = last.Sub(now) + time.Duration(min(1/left, maxRetryAfter.Seconds())*float64(time.Second))
 	}
 	after = min(max(after, minRetryAfter), maxRetryAfter)
-	q.nextRetry[rank] = now.Add(after)
+	q.nextRetry[priority] = now.Add(after)
 	return after
 }
 
@@ -89,8 +89,8 @@
 	}
 	q := r.shedderOf(w.Service)
 	q.record(priorityOf(w), now)
-	places, _ := r.limitRates(w.Service)
-	return !q.admit(priorityOf(w), places)
+	perSecond, _ := r.limitRates(w.Service)
+	return !q.admit(priorityOf(w), perSecond)
 }
 
 // allLimited reports whether there are ready targets that may take the request and all of them advertise limits.
@@ -141,7 +141,7 @@
 }
 
 // LimitsExhaustedFor reports whether a request finds no target because all that could take it advertise limits.
-func (r *Registry) LimitsExhaustedFor(w Requirements) (f LimitsExhausted, full bool) {
+func (r *Registry) LimitsExhaustedFor(w Requirements) (f LimitsExhausted, exhausted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
--- a/router/target/trial.go
+++ b/router/target/trial.go
@@ -7,8 +7,8 @@
 	"maststage.dev/router/rollout"
 )
 
-// isTrial reports whether the request tests a new version. Its targets are not avoided for their failures, because
-// the trial has to find these soon, and once.
+// isTrial reports whether the request tests a new version. Targets on trial are not avoided for their failures,
+// because the trial has to detect these soon, and just once.
 func (w Requirements) isTrial() bool { return w.Versions.Only != "" && w.Versions.Share < 1 }
 
 // trialTargets narrows the candidates of a request on trial to a few targets of the new version, the same ones at
@@ -18,23 +18,23 @@
 	if !w.isTrial() {
 		return usable
 	}
-	fresh, old := r.byVersion(w.Service, w.Versions.Only)
-	few := spreadOverDomains(w.Service, fresh, rollout.TrialTargets(old, w.Versions.Share))
-	return slices.DeleteFunc(usable, func(t *Target) bool { return !slices.Contains(few, t) })
+	matching, others := r.byVersion(w.Service, w.Versions.Only)
+	selected := spreadOverDomains(w.Service, matching, rollout.TrialTargets(others, w.Versions.Share))
+	return slices.DeleteFunc(usable, func(t *Target) bool { return !slices.Contains(selected, t) })
 }
 
 // byVersion lists the ready targets of a version and counts those of other versions. The lock is held.
-func (r *Registry) byVersion(service, version string) (of []*Target, others int) {
+func (r *Registry) byVersion(service, version string) (matching []*Target, others int) {
 	for _, t := range r.services[service] {
 		switch {
 		case !t.listed || t.state != Ready:
 		case t.Version == version:
-			of = append(of, t)
+			matching = append(matching, t)
 		default:
 			others++
 		}
 	}
-	return of, others
+	return matching, others
 }
 
 // spreadOverDomains picks up to count targets, spread evenly over the failure domains as far as their numbers allow.
