--- a/router/forward/attempt.go
+++ b/router/forward/attempt.go
@@ -55,7 +55,7 @@
 	request         *request
 	target          *target.Target
 	conn            *httpconn.Conn // may serve another request once it is released
-	reused          bool           // it had carried responses before
+	reused          bool           // conn had carried responses before
 	started         time.Time
 	work            float64 // prompt tokens counted as the target's load until it responds
 	rolloutRequest  rollout.Request
--- a/router/forward/buffered.go
+++ b/router/forward/buffered.go
@@ -16,7 +16,7 @@
 const maxBuffered = 256 << 10
 
 // alwaysBuffered is the size up to which a response is always buffered whole, in bytes; a longer
-// one is if Options.Unread has room for it.
+// one is buffered whole only if Options.Unread has room for it.
 const alwaysBuffered = 16 << 10
 
 // bufferedResponse is a response that was read whole.
--- a/router/forward/charge.go
+++ b/router/forward/charge.go
@@ -55,7 +55,7 @@
 	return min(int64(float64(events)*q.engine.Stride), q.usage.out)
 }
 
-// reserveRetry extends the reservation to cover another run. It resumes where the previous run
+// reserveRetry extends the reservation to cover another run, which resumes where the previous one
 // broke off, so only the undelivered tokens are generated again. If inFlight, the previous run
 // has not ended and may still generate all of its tokens.
 func (q *request) reserveRetry(inFlight bool) bool {
--- a/router/forward/charge_test.go
+++ b/router/forward/charge_test.go
@@ -51,9 +51,9 @@
 
 // checkCharge checks that a request is charged at least for the events that were generated, and far
 // less than its maximum of 600 tokens: a tenth of a second without delivery costs about half of it.
-func (f *fixture) checkCharge(end Outcome, made int) {
+func (f *fixture) checkCharge(end Outcome, generated int) {
 	f.t.Helper()
-	f.is.True(end.TokensUsed >= 100+5*int64(made))
+	f.is.True(end.TokensUsed >= 100+5*int64(generated))
 	f.is.True(end.TokensUsed < 400)
 	f.is.Equal(f.freeTokens(), transferredTokens-end.TokensUsed)
 }
--- a/router/forward/headers.go
+++ b/router/forward/headers.go
@@ -133,7 +133,7 @@
 	b.WriteString("\r\n")
 }
 
-// copyHead copies a target's headers to the caller's response, but hop-by-hop ones.
+// copyHead copies a target's headers to the caller's response, except hop-by-hop ones.
 func (h *Handler) copyHead(w http.ResponseWriter, resp *http.Response) {
 	out := w.Header()
 	dropped := connectionOptions(resp.Header)
--- a/router/forward/kind.go
+++ b/router/forward/kind.go
@@ -7,7 +7,7 @@
 	"maststage.dev/router/overload"
 )
 
-// Kind says how a request ended. The list is closed: see finalResponses.
+// Kind says how a request ended. finalResponses has an entry for each kind to which the host itself responds.
 type Kind string
 
 const (
--- a/router/forward/overload_test.go
+++ b/router/forward/overload_test.go
@@ -9,7 +9,7 @@
 	"maststage.dev/standin/backend"
 )
 
-// recordSlowDials reports dials to many targets that took so long.
+// recordSlowDials records dials of the given duration to many targets.
 func (f *fixture) recordSlowDials(took time.Duration) {
 	for i := range 16 {
 		f.overload.RecordDial(fmt.Sprint("t", i), took, time.Now())
--- a/router/forward/responses_test.go
+++ b/router/forward/responses_test.go
@@ -184,8 +184,8 @@
 	f.is.Equal(f.recorder.waitOutcome(t, "r1").Kind, Overloaded)
 }
 
-// Guards against telling the caller that a request has not run which the first target broke off and
-// the second refused.
+// Guards against telling the caller that a request has not run when the second target refused it, but
+// the first one broke it off.
 func TestRequestThatMayHaveRunIsNotReportedNotRun(t *testing.T) {
 	f := newFixture(t)
 	first := true
@@ -214,8 +214,8 @@
 	}
 }
 
-// Guards against a request that runs at a target which has taken over another target's address; it
-// responds 421 instead.
+// Guards against a request that runs at a target which has taken over another target's address: such
+// a target responds 421.
 func TestMisdirectedRequestIsNotRun(t *testing.T) {
 	f := newFixture(t)
 	e := f.add("new", "engine", backend.Behaviour{Body: "other service"})
--- a/router/forward/slowcaller.go
+++ b/router/forward/slowcaller.go
@@ -8,7 +8,7 @@
 // connectionOverheadBytes is roughly the memory of a connection and its request, without the bodies.
 const connectionOverheadBytes = 24 << 10
 
-// writeToCaller calls write, which writes a piece of the response of so many bytes, and accounts
+// writeToCaller calls write, which writes a piece of the response of the given size, and accounts
 // for it in opts.Unread.
 func (q *request) writeToCaller(bytes int, write func() error) error {
 	if q.tracked == nil {
--- a/router/forward/slowcaller_test.go
+++ b/router/forward/slowcaller_test.go
@@ -60,8 +60,8 @@
 	f.is.Equal(f.recorder.waitOutcome(t, "r1").Attempts, 1)
 }
 
-// Guards against counting it as a target's failure that it aborts a stream which its caller has
-// not read for long.
+// Guards against counting a stream that the target aborted, because its caller had not read it for
+// long, as the target's failure.
 func TestTargetIsNotBlamedForAbortingUnreadStream(t *testing.T) {
 	is := is.New(t)
 	is.Equal((&attempt{callerDelay: 3 * time.Second}).targetResult(broken), target.Abandoned)
--- a/router/forward/versions.go
+++ b/router/forward/versions.go
@@ -29,7 +29,7 @@
 	return rollout.Request{Service: q.service, NotRetryable: !q.route.Repeatable(), FirstAttempt: first}
 }
 
-// minPaceEvents is the least number of events that give a stream's pace.
+// minPaceEvents is the minimum number of events from which a stream's pace is computed.
 const minPaceEvents = 3
 
 // rolloutOutcome returns what the attempt shows about its target's version. The timings of a cold
