--- a/router/overload/overload.go
+++ b/router/overload/overload.go
@@ -30,8 +30,8 @@
 	// readiness checks, a second apart, and must not be sent back at once.
 	unreadyTime = 3 * time.Second
 	// RebalanceTime is the time until callers' new connections go to other hosts: two readiness checks. Callers
-	// that retry before then reach the same full host: told to retry after 50 ms instead, they were refused
-	// twice, which cost 0.01 of a day's value where one organisation sends 2.5 to 7.5 times its usual load.
+	// that retry before then reach the same full host: after 50 ms they are refused twice, which loses 0.01 of
+	// the value of a day's requests when one organisation sends 2.5 to 7.5 times its usual load.
 	RebalanceTime = 2 * time.Second
 )
 
@@ -101,8 +101,8 @@
 }
 
 // Admit reports whether a new request may begin. The longer connections take, the fewer are admitted: about as many
-// as bring the dial time back to maxDialTime. Admitting the square of that share refused 0.01 more of the
-// requests of a day with such an overload and served none better.
+// as bring the dial time back to maxDialTime. Admitting only the square of that share refuses 0.01 more of a
+// day's requests under the overload described at RebalanceTime, and serves the others no better.
 func (m *Monitor) Admit(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/router/overload/overload_test.go
+++ b/router/overload/overload_test.go
@@ -44,7 +44,7 @@
 	is.True(admitted > 260 && admitted < 410) // a third: 100 ms of 300 ms
 }
 
-// Guards against a host that becomes unready because one target is gone, which is dialled often.
+// Guards against a host that becomes unready because one target that is dialled often is gone.
 func TestOneSlowTargetIsNoHostOverload(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/router/unread/unread.go
+++ b/router/unread/unread.go
@@ -64,14 +64,14 @@
 	return r
 }
 
-// Untrack removes a response; it may be called again.
+// Untrack removes a response; it may be called more than once.
 func (t *Tracker) Untrack(r *Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.responses, r)
 }
 
-// BeginWrite records that a write to the caller begins, which holds so many bytes until EndWrite.
+// BeginWrite records that a write to the caller begins, which holds the given bytes until EndWrite.
 func (r *Response) BeginWrite(bytes int64, now time.Time) {
 	r.mu.Lock()
 	r.since, r.bytes = now, bytes
@@ -111,7 +111,7 @@
 const bufferedShare = 0.5
 
 // Reserve reserves bytes for a response that is to be buffered whole, until Release. It reports
-// whether there is room; nothing else bounds what arrives within minWait.
+// whether there is room. Nothing else bounds what arrives within minWait, as no write is aborted then.
 func (t *Tracker) Reserve(bytes int64) bool {
 	if float64(t.held.Add(bytes)) <= bufferedShare*float64(t.maxBytes) {
 		return true
