--- a/router/archive/archive.go
+++ b/router/archive/archive.go
@@ -80,8 +80,8 @@
 // unloadedTopics lists the topics that this host has not loaded.
 func (a *Archive) unloadedTopics() []string {
 	var topics []string
-	for topic, c := range a.opts.Replicas {
-		if !c.Loaded() {
+	for topic, source := range a.opts.Replicas {
+		if !source.Loaded() {
 			topics = append(topics, topic)
 		}
 	}
@@ -145,11 +145,11 @@
 }
 
 func (a *Archive) writeAll(ctx context.Context) {
-	for topic, c := range a.opts.Replicas {
-		if !c.Loaded() || c.End() == a.written[topic] {
+	for topic, source := range a.opts.Replicas {
+		if !source.Loaded() || source.End() == a.written[topic] {
 			continue
 		}
-		if err := a.write(ctx, topic, c); err != nil {
+		if err := a.write(ctx, topic, source); err != nil {
 			log.WithField("topic", topic).WithError(err).Warn("cannot write snapshot of a topic")
 		}
 	}
@@ -160,10 +160,10 @@
 const writeTimeout = 3 * time.Second
 
 // write appends a snapshot of a topic, without its tombstones.
-func (a *Archive) write(ctx context.Context, topic string, c *replica.Replica) error {
-	part, _ := c.UpdateSince(0)
+func (a *Archive) write(ctx context.Context, topic string, source *replica.Replica) error {
+	update, _ := source.UpdateSince(0)
 	var alive []eventlog.Record
-	for _, r := range part.Records {
+	for _, r := range update.Records {
 		if len(r.Value) > 0 {
 			alive = append(alive, r)
 		}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	value, err := json.Marshal(snapshot{End: part.End, Packed: packed})
+	value, err := json.Marshal(snapshot{End: update.End, Packed: packed})
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 		err = errors.Join(err, failed)
 	}
 	if err == nil {
-		a.written[topic] = part.End
+		a.written[topic] = update.End
 	}
 	return err
 }
--- a/router/httpconn/conn.go
+++ b/router/httpconn/conn.go
@@ -25,7 +25,7 @@
 
 	idleSince time.Time
 	idleUntil time.Time
-	keepAlive time.Duration // idle time that the target offered; 0: none
+	keepAlive time.Duration // by the target's Keep-Alive header, less a margin; 0: not given
 
 	closed    atomic.Bool
 	noReuse   bool          // the connection must not be reused
--- a/router/httpconn/pool.go
+++ b/router/httpconn/pool.go
@@ -45,10 +45,10 @@
 	closed bool
 }
 
-// keepAliveProbe is the interval of TCP keep-alive probes on a silent connection.
+// TCP keep-alive probes of a silent connection.
 const (
-	keepAliveProbe = time.Second
-	keepAliveCount = 4
+	keepAliveProbe = time.Second // interval of the probes, and idle time before the first one
+	keepAliveCount = 4           // unanswered probes after which the connection fails
 )
 
 // NewPool returns an empty pool.
@@ -70,8 +70,8 @@
 	p.limit = n
 }
 
-// Get returns an idle connection that was unused for at most maxRest, or dials a new one.
-func (p *Pool) Get(ctx context.Context, maxRest time.Duration) (*Conn, error) {
+// Get returns an idle connection that was unused for at most maxUnused, or dials a new one.
+func (p *Pool) Get(ctx context.Context, maxUnused time.Duration) (*Conn, error) {
 	now := time.Now()
 	for {
 		c, err := p.takeIdle()
@@ -81,7 +81,7 @@
 		if c == nil {
 			break
 		}
-		if now.Sub(c.idleSince) > maxRest || now.After(c.idleUntil) || !c.openAndIdle() {
+		if now.Sub(c.idleSince) > maxUnused || now.After(c.idleUntil) || !c.openAndIdle() {
 			c.Close()
 			continue
 		}
--- a/router/replica/replica.go
+++ b/router/replica/replica.go
@@ -72,8 +72,8 @@
 	lastContact      time.Time          // time of the log's response that the records are based on
 	lastRefresh      time.Time          // start of the newest successful step
 	cancelStep       context.CancelFunc // cancels the step in progress, or the pause after it
-	up               bool
-	called           bool // at least one step ended
+	up               bool               // the last step succeeded
+	called           bool               // at least one step ended
 	partial          partialLoad
 }
 
@@ -178,8 +178,9 @@
 	return max(maxBackoff, time.Duration(r.opts.Hosts())*backoffPerHost)
 }
 
-// step asks a relay, or else the log: it loads the newest records if the replica is empty, its
-// offset was trimmed or it is far behind, and long-polls otherwise. age is how old the response is.
+// step loads the newest records from the log if the replica is empty or far behind. Otherwise it asks
+// a relay or, if that does not respond, long-polls the log, and loads if the log has trimmed the
+// replica's offset. age is how old the response is.
 func (r *Replica) step(ctx context.Context) (age time.Duration, err error) {
 	r.mu.Lock()
 	loaded, behind, from := r.loaded, r.behind, r.end
--- a/router/replica/replica_test.go
+++ b/router/replica/replica_test.go
@@ -290,13 +290,13 @@
 	is.True(r.Stale(time.Now()))
 }
 
-// shortAnswers is a log that sends at most one record per response, and counts the records sent.
-type shortAnswers struct {
+// shortResponses is a log that sends at most one record per response, and counts the records sent.
+type shortResponses struct {
 	eventlog.Log
 	sent atomic.Int64
 }
 
-func (l *shortAnswers) Read(ctx context.Context, p eventlog.Partition, from int64, wait time.Duration) (eventlog.Batch, error) {
+func (l *shortResponses) Read(ctx context.Context, p eventlog.Partition, from int64, wait time.Duration) (eventlog.Batch, error) {
 	batch, err := l.Log.Read(ctx, p, from, wait)
 	batch.Records = batch.Records[:min(len(batch.Records), 1)]
 	l.sent.Add(int64(len(batch.Records)))
@@ -308,7 +308,7 @@
 	is := is.New(t)
 	l := memlog.New()
 	l.Put(partition, "a", []byte("0"))
-	short := &shortAnswers{Log: l.Host("h")}
+	short := &shortResponses{Log: l.Host("h")}
 	r := New(Options{Log: short, Partition: partition, LongPoll: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond})
 	is.NoErr(r.load(t.Context()))
 	for i := range 100 {
@@ -369,7 +369,7 @@
 }
 
 // A replica that was loaded after a key was deleted has no tombstone for it. Guards against it sending
-// only its changes to a host that still knows the key, which would then keep the key for ever.
+// only its changes to a host that still knows the key, which would then keep the key forever.
 func TestFullUpdateReportsEarlierDeletions(t *testing.T) {
 	is := is.New(t)
 	l := memlog.New()
