--- a/router/observe/limits.go
+++ b/router/observe/limits.go
@@ -15,7 +15,7 @@
 // maxLimitGauges bounds the number of targets whose limits are exported, and so the size of the output.
 const maxLimitGauges = 1000
 
-// RegisterLimits exports gauges for the targets that announce a rate limit; f is called at each scrape.
+// RegisterLimits exports gauges for the targets that advertise a rate limit; f is called at each scrape.
 func (o *Observer) RegisterLimits(f func() []target.LimitStatus) { o.limits = f }
 
 func (o *Observer) writeLimits(w io.Writer) {
--- a/router/routing/config.go
+++ b/router/routing/config.go
@@ -33,7 +33,7 @@
 	byKey              map[string]*Organisation
 	byOrganisation     map[string]*Organisation
 	byService          map[string]*Service
-	leastRoutePriority int
+	leastRoutePriority int  // the least urgent priority of all routes
 	restricted         bool // some route or organisation restricts the regions
 }
 
--- a/router/settings/sections.go
+++ b/router/settings/sections.go
@@ -83,7 +83,7 @@
 	// exposure_slack requests.
 	ExposureShare float64 `ini:"exposure_share" default:"0.1"`
 	ExposureSlack float64 `ini:"exposure_slack" default:"50"`
-	// In any window of limit_window_s all hosts together send a target that announces a rate
+	// In any window of limit_window_s all hosts together send a target that advertises a rate
 	// limit at most limit_overrun times what the limit allows, plus limit_slack requests.
 	LimitOverrun float64 `ini:"limit_overrun" default:"1.5"`
 	LimitSlack   float64 `ini:"limit_slack" default:"5"`
@@ -134,7 +134,7 @@
 // Budgets configures the allocations that hosts hold of prepaid budgets.
 type Budgets struct {
 	HorizonS       float64 `ini:"horizon_s" default:"11"`        // how long an allocation lasts at the current demand
-	FullSpanS      float64 `ini:"full_span_s" default:"25"`      // a budget that lasts this long or longer is allocated by most_part, a shorter one by less
+	FullSpanS      float64 `ini:"full_span_s" default:"25"`      // hosts hold up to most_part of a budget that lasts at least this long, and less of a shorter one
 	MostPart       float64 `ini:"most_part" default:"0.35"`      // maximum share of the unspent budget that all hosts hold together
 	LeastPart      float64 `ini:"least_part" default:"0.02"`     // the same share when the budget is nearly exhausted
 	EvenPart       float64 `ini:"even_part" default:"0.6"`       // part of an even share of the allocated tokens that a host holds regardless of its demand
