--- a/bench/capacity/model.go
+++ b/bench/capacity/model.go
@@ -21,7 +21,7 @@
 	Replacements float64 // of hosts, per day
 }
 
-// PetFood and Examora are the users' fleets of today. Their sizes are given; no rates
+// PetFood and Examora are the users' present fleets. Their sizes are given; no rates
 // are given, so those are assumed. Target is the size that is required.
 var (
 	PetFood = Size{Name: "pet food today", Hosts: 8, Regions: 1, Domains: 3, Targets: 23, Budgets: 10, Orgs: 10, Requests: 40, Tokens: 4000, OnceShare: 0.3, Changes: 20, Deaths: 0.1, Replacements: 8}
@@ -38,20 +38,20 @@
 	LimitConfig  = 12.0   // seconds
 )
 
-// Settings that the model uses, as in the default settings file.
+// Settings that the model uses: those of the default settings file, and those of the plan.
 const (
-	pingsPerSecond   = 2.0
-	settlesPerSecond = 2.0
-	appendInterval   = 0.08    // s
-	horizon          = 200_000 // facts kept
-	loadsPerSecond   = 2.0     // load reports of each target
-	plannedLoads     = 0.1     // the same in the plan, where responses of targets carry the load too
-	day              = 86400.0 // s
-	sliceNow         = 60.0    // s of demand covered by an allocation
-	relayBatch       = 100.0   // batches in the measured relay call
-	groupHosts       = 8.0     // hosts in an ownership group, in the plan
-	sliceSeconds     = 600.0   // s between takes of an allocation, in the plan
-	packedBill       = 12.0    // bytes: 8 for a hashed id, 2 for tokens, 2 for framing
+	pingsPerSecond     = 2.0
+	settlesPerSecond   = 2.0
+	appendInterval     = 0.08    // s
+	horizon            = 200_000 // facts kept
+	loadsPerSecond     = 2.0     // load reports of each target
+	plannedLoads       = 0.1     // the same in the plan, where responses of targets carry the load too
+	day                = 86400.0 // s
+	allocationSeconds  = 60.0    // s of demand covered by an allocation
+	relayBatch         = 100.0   // batches in the measured relay call
+	groupHosts         = 8.0     // hosts in an ownership group, in the plan
+	plannedTakeSeconds = 600.0   // s between takes of an allocation, in the plan
+	packedBill         = 12.0    // bytes: 8 for a hashed id, 2 for tokens, 2 for framing
 )
 
 // Slopes holds the measured inputs of the model.
@@ -112,7 +112,7 @@
 	loadBytes, loadCPU := s.call("load report of a target")
 	_, relayCPU := s.call("relay of 100 batches of the log")
 	relayed := min(appends(z), LimitAppends)       // batches per second
-	views := (2*z.Deaths + 3*z.Replacements) / day // a death is an evict and a join; a replacement is a leave, an end and a join
+	views := (2*z.Deaths + 3*z.Replacements) / day // a crash adds an eviction and a join; a replacement a leave, an end and a join
 	settles := settlesPerSecond * pairs * float64(z.Hosts)
 	records := z.Requests + once + settles*1.2 + views*float64(z.Hosts)
 	logBytes := z.Requests*s.Record["bill"] + once*s.Record["intent"] + settles*(s.Record["settle"]+0.2*s.Record["take"]) + views*float64(z.Hosts)*s.Record["flushed"]
@@ -157,7 +157,7 @@
 	loadBytes, loadCPU := s.call("load report of a target")
 	_, relayCPU := s.call("relay of 100 batches of the log")
 	pairs := float64(z.Budgets) * float64(z.Regions) / groups // of a budget and a group
-	takes := pairs / sliceSeconds
+	takes := pairs / plannedTakeSeconds
 	views := (2*z.Deaths + 3*z.Replacements) / day / groups
 	config := z.Changes / day
 	const change = 400.0 // bytes of one changed section with its envelope
--- a/bench/capacity/page.go
+++ b/bench/capacity/page.go
@@ -114,7 +114,7 @@
 	row := func(event, often string, views, hosts float64, stranded bool) {
 		lost := "0, given back"
 		if stranded {
-			lost = number(hosts * tokens * sliceNow)
+			lost = number(hosts * tokens * allocationSeconds)
 		}
 		fmt.Fprintf(b, "| %s | %s | %s | %s | %s of the region's | %s bytes each (planned: %s) |\n",
 			event, often, number(views), lost, share(hosts, float64(z.Hosts)/float64(z.Regions)), number(state), number(group))
@@ -125,7 +125,7 @@
 	row("a failure domain (22 hosts)", "one or two a year", 44, 22, true)
 	fmt.Fprintf(b, "| regions lose each other for an hour | now and then | 0 | 0 | none: an id belongs to its region | the hour's log on return |\n")
 	fmt.Fprintf(b, "\nA host serves %.0f requests/s and %s tokens/s; a slice covers at most %.0f s of demand, so a death strands up to %s tokens (%.0f deaths a day: %s, that is %.1f s of the whole fleet's work). A region cut off for an hour spends what its hosts hold: a minute of demand or half of its even share of what was left, whichever is less, so it refuses after that unless slices are sized for the cut: %s tokens for each region and hour at the peak.\n",
-		perHost, number(tokens), sliceNow, number(tokens*sliceNow), z.Deaths, number(z.Deaths*tokens*sliceNow), z.Deaths*tokens*sliceNow/z.Tokens, number(z.Tokens/float64(z.Regions)*3600))
+		perHost, number(tokens), allocationSeconds, number(tokens*allocationSeconds), z.Deaths, number(z.Deaths*tokens*allocationSeconds), z.Deaths*tokens*allocationSeconds/z.Tokens, number(z.Tokens/float64(z.Regions)*3600))
 }
 
 func share(hosts, of float64) string { return fmt.Sprintf("%.1f%%", min(100, 100*hosts/of)) }
--- a/daemon/entry/silence.go
+++ b/daemon/entry/silence.go
@@ -30,7 +30,7 @@
 // class is what the policy of a request's class allows.
 type class struct {
 	repeats bool // the request may be repeated
-	stream  bool // it may, and is an engine's stream, whose second run costs tokens
+	stream  bool // it may be repeated and is an engine's stream, of which a second run costs tokens
 	// until is when waiting for silent hosts ends.
 	until time.Time
 }
@@ -55,8 +55,8 @@
 }
 
 // waitsFor reports, after a pause, whether a lost host is to be asked again because it may run a
-// stream: its process is alive, or not known to have exited. A stalled host that was evicted is
-// waited for only if there is more evidence of a run than an unconfirmed order.
+// stream: its process is alive, or not known to have exited. An evicted host is waited for only if
+// its process is alive and there is more evidence of a run than that the request was sent to it.
 func (f *forwarding) waitsFor(ctx context.Context, m view.Member, o outcome) bool {
 	if !f.mayHaveRun || !f.class().stream {
 		f.logLost(m, o, "not probed")
--- a/daemon/ledger/ledger.go
+++ b/daemon/ledger/ledger.go
@@ -374,7 +374,7 @@
 }
 
 // surplus returns what the account holds beyond its demand: everything when idle, and
-// near the exhaustion of the budget what it will not use soon.
+// near the exhaustion of the budget what it will not use soon. A fixed share has no surplus.
 func (l *Ledger) surplus(a *account, now time.Time) uint64 {
 	if l.cfg.FixedShare > 0 {
 		return 0
--- a/daemon/logio/tailer.go
+++ b/daemon/logio/tailer.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// fromLog loads the last usable snapshot in the log. Without one, the log must
-// still have its first entry.
+// fromLog loads the last snapshot whose next entry the log still retains. Without one,
+// the log must still have its first entry.
 func (t *Tailer) fromLog(ctx context.Context) error {
 	var snap *fold.State
 	first, err := t.reader.Read(ctx, 1, 1, 0)
--- a/daemon/peer/detector.go
+++ b/daemon/peer/detector.go
@@ -204,8 +204,8 @@
 
 // requestEviction requests the eviction of at most one suspect per epoch. Fewer than half of
 // the members must be suspected, or the platform's list must lack the host, so that the
-// minority side of a network partition evicts nobody. A second witness is needed unless no
-// other member is heard of. One of the witnesses, chosen by hash, sends the request.
+// minority side of a network partition evicts nobody. Another host must suspect the member too,
+// unless no other host is heard from. One of the suspecting hosts, chosen by hash, sends the request.
 func (d *Detector) requestEviction(members []view.Member, now time.Time) {
 	epoch := d.view.Epoch()
 	d.mu.Lock()
--- a/daemon/target/watch.go
+++ b/daemon/target/watch.go
@@ -47,7 +47,7 @@
 	ejected         time.Time // end of the ejection
 	failures        int       // consecutive
 	outstanding     int       // open requests of this host
-	running         int       // as are waiting and prefixes: from the last load report
+	running         int       // running, waiting and prefixes are from the last load report
 	waiting         int
 	prefixes        map[uint64]bool
 	gap             float64 // moving average of the seconds between tokens
--- a/lib/account/account.go
+++ b/lib/account/account.go
@@ -81,7 +81,7 @@
 
 // Series returns the sums at each step from the first entry to the last, ordered by time and
 // organisation; step 0 gives those at the last entry only. An incarnation counts as exited once a
-// later one of its host reports and, unless silent is 0, once it has reported nothing for longer
+// later one of its host reports or, unless silent is 0, once it has reported nothing for longer
 // than silent. Hosts report changes only, so silent should be long.
 func (b *Book) Series(step, silent time.Duration) []Sum {
 	if len(b.entries) == 0 {
--- a/load/verdict/verdict.go
+++ b/load/verdict/verdict.go
@@ -117,7 +117,7 @@
 	return c.Doubled + int(min(c.Overspend, 1<<30)) + c.LostBills + c.WrongBills + c.Partial + c.FalseNotRun
 }
 
-// String formats the verdict in one line.
+// String formats the verdict in one line. Its lostbills include WrongBills.
 func (c *Count) String() string {
 	return fmt.Sprintf("requests=%d whole=%d refused=%d unknown=%d doubled=%d overspend=%d lostbills=%d partial=%d falsenotrun=%d falserefusals=%d violations=%d",
 		c.Requests, c.Whole, c.Refused, c.Unknown, c.Doubled, c.Overspend, c.LostBills+c.WrongBills, c.Partial, c.FalseNotRun, c.FalseRefusals, c.Violations())
--- a/proofs/answers_test.go
+++ b/proofs/answers_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	f := sixHosts(t, engines(2*time.Millisecond), "[targets]\nsilent_after = 300ms\n")
 	f.Apply(declarations(ampleBudget))
-	s := &traffic{f: f, class: "chat", name: "a", tokens: 40, interval: 20 * time.Millisecond, silence: 4 * time.Second}
+	s := &traffic{f: f, class: "chat", name: "a", tokens: 40, interval: 20 * time.Millisecond, idleTimeout: 4 * time.Second}
 	s.start()
 	for _, fault := range []string{"cut=2", "silent=2", "crossed=2", "late=150", "late=0", "cut=3", "crossed=3"} {
 		f.Switch("e0", fault)
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	f := sixHosts(t, services(2*time.Millisecond), "[targets]\nsilent_after = 300ms\n")
 	f.Apply(declarations(ampleBudget))
-	s := &traffic{f: f, class: "ping", name: "p", tokens: 1, interval: 20 * time.Millisecond, silence: 6 * time.Second}
+	s := &traffic{f: f, class: "ping", name: "p", tokens: 1, interval: 20 * time.Millisecond, idleTimeout: 6 * time.Second}
 	s.start()
 	for _, fault := range []string{"crossed=2", "losereply=2", "silent=1", "crossed=3"} {
 		f.Switch("s0", fault)
@@ -117,7 +117,7 @@
 	is := is.New(t)
 	f := sixHosts(t, engines(10*time.Millisecond), "")
 	f.Apply(declarations(ampleBudget))
-	s := &traffic{f: f, class: "chat", name: "d", tokens: 100, interval: 20 * time.Millisecond, patience: 20 * time.Second}
+	s := &traffic{f: f, class: "chat", name: "d", tokens: 100, interval: 20 * time.Millisecond, timeout: 20 * time.Second}
 	s.start()
 	time.Sleep(1500 * time.Millisecond)
 	f.Kill(0)
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -62,7 +62,7 @@
 	f := sixHosts(t, engines(2*time.Millisecond), "[targets]\nsilent_after = 400ms\n")
 	f.Apply(declarations(ampleBudget))
 	f.Switch("e0", "silent=1000000")
-	s := &traffic{f: f, class: "chat", name: "s", tokens: 30, interval: 25 * time.Millisecond, silence: 5 * time.Second}
+	s := &traffic{f: f, class: "chat", name: "s", tokens: 30, interval: 25 * time.Millisecond, idleTimeout: 5 * time.Second}
 	s.start()
 	time.Sleep(4 * time.Second)
 	c := checkCases(t, f, s.finish(), ampleBudget)
@@ -115,8 +115,8 @@
 	f := sixHosts(t, append(engines(15*time.Millisecond), services(10*time.Millisecond)...), "")
 	f.Apply(declarations(ampleBudget))
 	chats := &traffic{f: f, class: "chat", name: "c", tokens: 20, interval: 20 * time.Millisecond}
-	// A session takes 4.5 s, and longer on a busy machine, hence the long patience.
-	sessions := &traffic{f: f, class: "chat", name: "open", tokens: 300, interval: 100 * time.Millisecond, patience: 30 * time.Second}
+	// A session takes 4.5 s, and longer on a busy machine, hence the long timeout.
+	sessions := &traffic{f: f, class: "chat", name: "open", tokens: 300, interval: 100 * time.Millisecond, timeout: 30 * time.Second}
 	saves := startSaves(f, "s", 20*time.Millisecond)
 	chats.start()
 	sessions.start()
--- a/proofs/once_test.go
+++ b/proofs/once_test.go
@@ -14,7 +14,7 @@
 const ampleBudget = 1_000_000
 
 func startSaves(f *fleet.Fleet, name string, interval time.Duration) *traffic {
-	s := &traffic{f: f, class: "save", name: name, tokens: 1, interval: interval, silence: time.Second}
+	s := &traffic{f: f, class: "save", name: name, tokens: 1, interval: interval, idleTimeout: time.Second}
 	s.start()
 	return s
 }
--- a/proofs/overload_test.go
+++ b/proofs/overload_test.go
@@ -37,8 +37,8 @@
 program = to("model").Priority(10).Deadline(3000).MaxTokens(4)
 `, declare.HashKey(key)))
 	// Eight slots serve 16 essays of 0.5 s a second; 50 arrive.
-	essays := &traffic{f: f, class: "chat", name: "essay", tokens: 100, interval: 20 * time.Millisecond, silence: 5 * time.Second, noRetry: true}
-	flags := &traffic{f: f, class: "flag", name: "flag", tokens: 4, interval: 100 * time.Millisecond, silence: 5 * time.Second, noRetry: true}
+	essays := &traffic{f: f, class: "chat", name: "essay", tokens: 100, interval: 20 * time.Millisecond, idleTimeout: 5 * time.Second, noRetry: true}
+	flags := &traffic{f: f, class: "flag", name: "flag", tokens: 4, interval: 100 * time.Millisecond, idleTimeout: 5 * time.Second, noRetry: true}
 	essays.start()
 	time.Sleep(2 * time.Second)
 	flags.start()
--- a/proofs/overspend_test.go
+++ b/proofs/overspend_test.go
@@ -31,7 +31,7 @@
 func runTraffic(f *fleet.Fleet, name string, d time.Duration, groups ...[]int) [][]verdict.Case {
 	var loads []*traffic
 	for i, g := range groups {
-		s := &traffic{f: f, class: "chat", name: fmt.Sprint(name, i), tokens: 100, interval: 10 * time.Millisecond, hosts: g, patience: 4 * time.Second}
+		s := &traffic{f: f, class: "chat", name: fmt.Sprint(name, i), tokens: 100, interval: 10 * time.Millisecond, hosts: g, timeout: 4 * time.Second}
 		loads = append(loads, s)
 		s.start()
 	}
--- a/proofs/soak/evacuate_test.go
+++ b/proofs/soak/evacuate_test.go
@@ -54,7 +54,7 @@
 	w.log.Put(platformtest.Operator, platformtest.EvacuationKey(zone), nil)
 }
 
-// beginEvacuation records the begin of an evacuation, and reports false if the domain is already
+// beginEvacuation records the start of an evacuation, and reports false if the domain is already
 // evacuated.
 func (w *watch) beginEvacuation(zone string) bool {
 	w.mu.Lock()
--- a/proofs/soak/faults_test.go
+++ b/proofs/soak/faults_test.go
@@ -81,7 +81,7 @@
 	case deadlyKind:
 		return deadly
 	case limitKind:
-		return nameLimits
+		return limitTargets
 	case readersKind:
 		return stallReaders
 	}
--- a/proofs/soak/limit_test.go
+++ b/proofs/soak/limit_test.go
@@ -14,8 +14,8 @@
 const limitKind = "limit"
 
 // Figures of limits. A target with a limit may get in any limitSpan at most limitOverrun times what it
-// allows, plus limitSlack. This counts requests from limitStart after the limit was first sent, by hosts
-// that had passed on a response with it limitNotice before.
+// allows, plus limitSlack. Requests count once the target has sent the limit for limitStart, and only
+// if their host relayed a response with that limit at least limitNotice earlier.
 const (
 	limitEvery    = 2 // one seed in this many has them
 	maxLimits     = 3
@@ -39,8 +39,8 @@
 	return draw(random, limitKind, maxLimits, minLimited, limitedSpread)
 }
 
-// namedLimit is a limit that a target sends for a time.
-type namedLimit struct {
+// sentLimit is a limit that a target sends, or has sent, in its responses.
+type sentLimit struct {
 	perSecond  float64
 	begin, end time.Time // end is zero while it lasts
 }
@@ -48,22 +48,22 @@
 // malformedLimits are header values that are not valid limits.
 var malformedLimits = [][]string{{"-1"}, {"1e99"}, {"many"}, {"1", "2"}, {""}}
 
-// nameLimits makes some targets of a service send limits, and others malformed values.
-func nameLimits(w *world, e event) {
-	var named []*targetState
+// limitTargets makes some targets of a service send limits, and others malformed values.
+func limitTargets(w *world, e event) {
+	var limited []*targetState
 	for i, s := range pickTargets(w, e) {
 		if (e.pick+i)%5 == 4 {
-			s.nameLimit(malformedLimits[e.pick%len(malformedLimits)])
-			named = append(named, s)
+			s.sendValues(malformedLimits[e.pick%len(malformedLimits)])
+			limited = append(limited, s)
 			continue
 		}
 		perSecond := 0.5 + 4*e.part*float64(i%2)
 		if s.beginLimit(perSecond) {
-			named = append(named, s)
+			limited = append(limited, s)
 		}
 	}
 	time.Sleep(e.length)
-	for _, s := range named {
+	for _, s := range limited {
 		s.endLimit()
 	}
 }
@@ -76,12 +76,12 @@
 		return false
 	}
 	s.limit = []string{fmt.Sprint(perSecond)}
-	s.limits = append(s.limits, namedLimit{perSecond: perSecond, begin: time.Now()})
+	s.limits = append(s.limits, sentLimit{perSecond: perSecond, begin: time.Now()})
 	return true
 }
 
-// nameLimit makes a target send the given values, unless it already sends a limit.
-func (s *targetState) nameLimit(values []string) {
+// sendValues makes a target send the given values, unless it already sends a limit.
+func (s *targetState) sendValues(values []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limit == nil {
@@ -129,8 +129,8 @@
 }
 
 // knownSince returns since when each host knows a limit: the time of the first response with it that
-// the host passed on.
-func knownSince(calls []call, s *targetState, limit namedLimit) map[*host]time.Time {
+// the host relayed.
+func knownSince(calls []call, s *targetState, limit sentLimit) map[*host]time.Time {
 	since := map[*host]time.Time{}
 	for _, c := range calls {
 		if c.limit == "" || c.stamp != s.id || c.headAt.Before(limit.begin) {
@@ -143,7 +143,7 @@
 	return since
 }
 
-func (w *world) checkLimit(s *targetState, limit namedLimit, list []arrivalAt, hosts map[string]*host, known map[*host]time.Time) {
+func (w *world) checkLimit(s *targetState, limit sentLimit, list []arrivalAt, hosts map[string]*host, known map[*host]time.Time) {
 	allowed := limitOverrun*limitSpan.Seconds()*limit.perSecond + limitSlack
 	var in []arrivalAt
 	for _, a := range list {
--- a/proofs/soak/probe_test.go
+++ b/proofs/soak/probe_test.go
@@ -34,7 +34,7 @@
 		case http.StatusNotFound:
 			w.checkConfigAge(h, version, published, started)
 		}
-		if served > 1 && w.versionStatus(client, h, served, random) == http.StatusNotFound && h.startedOnce(starts) {
+		if served > 1 && w.versionStatus(client, h, served, random) == http.StatusNotFound && h.isStart(starts) {
 			w.watch.violation("configuration", "%s reverted to a version before %d", h.name, served)
 		}
 		time.Sleep(probePause)
@@ -58,8 +58,9 @@
 	return c.status
 }
 
-// startedOnce reports whether the host's process was not restarted since its starts-th start.
-func (h *host) startedOnce(starts int) bool {
+// isStart reports whether the host was started this many times so far: it was not restarted since
+// starts was read.
+func (h *host) isStart(starts int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.starts == starts
--- a/proofs/soak/soak_test.go
+++ b/proofs/soak/soak_test.go
@@ -139,8 +139,8 @@
 	for _, e := range events {
 		w.t.Log(e)
 	}
-	for promise, list := range w.watch.violations {
-		w.t.Errorf("seed %d broke %s:\n  %s", seed, promise, strings.Join(list, "\n  "))
+	for guarantee, list := range w.watch.violations {
+		w.t.Errorf("seed %d broke %s:\n  %s", seed, guarantee, strings.Join(list, "\n  "))
 	}
 	if *keepLogs == "" {
 		return
--- a/proofs/soak/watch_test.go
+++ b/proofs/soak/watch_test.go
@@ -82,7 +82,7 @@
 	return w.newest, w.versions[w.newest]
 }
 
-// fault records the begin of a fault. The returned function records the end.
+// fault records the start of a fault. The returned function records the end.
 func (w *watch) fault(what string) (end func()) { return w.note(&w.faults, what) }
 
 // stop records a graceful shutdown, which is not a fault.
@@ -126,11 +126,11 @@
 const maxShown = 5
 
 // violation records that a guarantee was violated.
-func (w *watch) violation(promise, format string, args ...any) {
+func (w *watch) violation(guarantee, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	list := w.violations[promise]
+	list := w.violations[guarantee]
 	if len(list) < maxShown {
-		w.violations[promise] = append(list, fmt.Sprintf("%s: ", time.Now().Format("15:04:05.000"))+fmt.Sprintf(format, args...))
+		w.violations[guarantee] = append(list, fmt.Sprintf("%s: ", time.Now().Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 	}
 }
--- a/proofs/soak/world_test.go
+++ b/proofs/soak/world_test.go
@@ -92,7 +92,7 @@
 	alter             func(*backend.Behaviour) // the injected fault, nil without one
 	leftAt            time.Time                // when the store had the entry that the target leaves
 	limit             []string                 // the limit that it sends
-	limits            []namedLimit             // all limits that it has sent
+	limits            []sentLimit              // all limits that it has sent
 }
 
 // Loopback networks of clusters.
--- a/proofs/stall_test.go
+++ b/proofs/stall_test.go
@@ -70,7 +70,7 @@
 	return func() { <-done }
 }
 
-// ownedBy returns an id that begins with name and is owned by a host.
+// ownedBy returns an id that begins with name and is owned by the given host.
 func ownedBy(f *fleet.Fleet, host int, name string) string {
 	var v view.View
 	var want string
--- a/proofs/traffic_test.go
+++ b/proofs/traffic_test.go
@@ -17,15 +17,15 @@
 // traffic sends requests of one class at a steady rate while a test injects faults, and collects the
 // outcomes that callers see.
 type traffic struct {
-	f        *fleet.Fleet
-	class    string
-	name     string // prefix of the request ids
-	tokens   uint32
-	interval time.Duration
-	silence  time.Duration
-	patience time.Duration
-	hosts    []int // that callers try first, in turn; nil means all
-	noRetry  bool  // callers don't retry
+	f           *fleet.Fleet
+	class       string
+	name        string // prefix of the request ids
+	tokens      uint32
+	interval    time.Duration
+	idleTimeout time.Duration
+	timeout     time.Duration
+	hosts       []int // that callers try first, in turn; nil means all
+	noRetry     bool  // callers don't retry
 
 	mu    sync.Mutex
 	cases []verdict.Case
@@ -34,11 +34,11 @@
 }
 
 func (s *traffic) start() {
-	if s.silence == 0 {
-		s.silence = 2 * time.Second
+	if s.idleTimeout == 0 {
+		s.idleTimeout = 2 * time.Second
 	}
-	if s.patience == 0 {
-		s.patience = 8 * time.Second
+	if s.timeout == 0 {
+		s.timeout = 8 * time.Second
 	}
 	s.stop = make(chan struct{})
 	s.wg.Add(1)
@@ -82,7 +82,7 @@
 	input := []byte("input of " + id)
 	o := c.Send(context.Background(), caller.Request{
 		Key: key, ID: id, Class: s.class, Input: input, MaxTokens: s.tokens,
-		IdleTimeout: s.silence, Timeout: s.patience, First: n, Once: s.noRetry,
+		IdleTimeout: s.idleTimeout, Timeout: s.timeout, First: n, Once: s.noRetry,
 	})
 	k := verdict.Case{Outcome: o, FullID: "org/" + id, Single: s.class == "save", Want: wantOutput(s.class, id, input, s.tokens), Account: account, Need: uint64(s.tokens) + 50}
 	s.mu.Lock()
--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -179,7 +179,7 @@
 	how := b.behave(run)
 	b.mu.Unlock()
 	if how.EarlyResponse {
-		// The rest of the body is read afterwards, as the protocol's page allows.
+		// The rest of the body is read afterwards, as the documented protocol allows.
 		b.write(c, run, how)
 		_, _ = io.Copy(io.Discard, req.Body)
 		return true
--- a/standin/memlog/memlog.go
+++ b/standin/memlog/memlog.go
@@ -58,7 +58,7 @@
 	l.faults[host] = f
 }
 
-// SetPartitionFault sets the fault of all hosts' calls to one partition. It precedes those of hosts.
+// SetPartitionFault sets the fault of all hosts' calls to one partition. It takes precedence over the faults of hosts.
 func (l *Log) SetPartitionFault(p eventlog.Partition, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -98,7 +98,7 @@
 	granted  chan struct{}
 }
 
-// acquireSlot waits for a slot, larger priorities first. The caller must return it by releaseSlot.
+// acquireSlot waits for a slot, larger priorities first. If it succeeds, the caller must call releaseSlot.
 func (t *Target) acquireSlot(ctx context.Context, priority uint32) error {
 	t.mu.Lock()
 	if t.running < t.slots {
