--- a/daemon/ledger/ledger.go
+++ b/daemon/ledger/ledger.go
@@ -219,8 +219,9 @@
 }
 
 // allocationSize returns the size of the next allocation: the demand of SliceSeconds, at
-// most a part of this host's even share of what is left, so that allocations shrink as
-// the budget nears exhaustion, and at least the tokens that are short now.
+// most MaxSlice and a part of this host's even share of what is left, so that allocations
+// shrink as the budget nears exhaustion, and at least the tokens that are short now. With
+// FixedShare it is that share of the whole budget.
 //
 // The demand covers at least a few requests of the largest size, so that a host with
 // occasional requests holds enough for the next ones while the log is unavailable.
--- a/proofs/soak/faults_test.go
+++ b/proofs/soak/faults_test.go
@@ -132,21 +132,21 @@
 
 // Figures of a schedule.
 const (
-	faultTime  = 9 * time.Second // in which events begin
-	eventLimit = 22
-	leastLong  = 200 * time.Millisecond
-	mostLong   = 3500 * time.Millisecond
+	faultTime      = 9 * time.Second // in which events begin
+	maxEvents      = 22
+	minEventLength = 200 * time.Millisecond
+	maxEventLength = 3500 * time.Millisecond
 )
 
 // schedule draws the events of a seed. Some seeds have only planned work, so that the guarantees that
 // hold without faults can be checked.
 func schedule(random *rand.Rand) []event {
 	kinds := kindsOf(random)
-	events := make([]event, 4+random.IntN(eventLimit-3))
+	events := make([]event, 4+random.IntN(maxEvents-3))
 	for i := range events {
 		events[i] = event{
 			at:     time.Duration(random.Int64N(int64(faultTime))),
-			length: leastLong + time.Duration(random.Int64N(int64(mostLong-leastLong))),
+			length: minEventLength + time.Duration(random.Int64N(int64(maxEventLength-minEventLength))),
 			kind:   kinds[random.IntN(len(kinds))],
 			pick:   random.IntN(1000),
 			part:   random.Float64(),
@@ -155,13 +155,13 @@
 	return events
 }
 
-// draw draws one to most events of a kind, with lengths from least to less than least + longer.
-func draw(random *rand.Rand, kind string, most int, least, longer time.Duration) []event {
-	events := make([]event, 1+random.IntN(most))
+// draw draws 1 to maxCount events of a kind. Their lengths are minLength to less than minLength + spread.
+func draw(random *rand.Rand, kind string, maxCount int, minLength, spread time.Duration) []event {
+	events := make([]event, 1+random.IntN(maxCount))
 	for i := range events {
 		events[i] = event{
 			at:     time.Duration(random.Int64N(int64(faultTime))),
-			length: least + time.Duration(random.Int64N(int64(longer))),
+			length: minLength + time.Duration(random.Int64N(int64(spread))),
 			kind:   kind, pick: random.IntN(1000), part: random.Float64(),
 		}
 	}
