--- a/router/fleet/elect.go
+++ b/router/fleet/elect.go
@@ -12,8 +12,8 @@
 const settlePeriod = 6 * time.Second
 
 // dutyLease is how long a host may hold a duty after its last announcement, since others drop it
-// after peerExpiry and then replace it. The same holds after its last read of announcements,
-// since it then drops the others and would take their duties.
+// after peerExpiry and then replace it. It also bounds the time after the host's last read of
+// announcements, since a host that reads none drops the others and would take their duties.
 const dutyLease = peerExpiry - 2*settlePeriod
 
 // Elected reports whether this host is one of up to count hosts that share a duty, and how
--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -45,7 +45,7 @@
 	// Recall takes back a loan whose response did not reach the borrower.
 	Recall func(id string) (tokens int64)
 	// Credit adds tokens transferred by another host, once for each transfer.
-	Credit func(gift prepaid.Transfer) bool
+	Credit func(transfer prepaid.Transfer) bool
 	// History returns the changes of budget limits that this host has seen.
 	History func() prepaid.LimitHistory
 	// Quarantine detects requests that crash targets. nil: this host does not take part.
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -39,7 +39,7 @@
 	return true
 }
 
-// isActive reports whether a host is another one and has not expired; the lock is held.
+// isActive reports whether a host is not this one and has not expired; the lock is held.
 func (f *Fleet) isActive(name string, k peerState) bool {
 	return name != f.opts.Self.Name && time.Since(k.lastSeen) < peerExpiry
 }
--- a/router/fleet/loss.go
+++ b/router/fleet/loss.go
@@ -35,20 +35,20 @@
 
 // othersRestarted reports whether the other hosts restarted when this one did; the lock is held.
 func (f *Fleet) othersRestarted() bool {
-	anew, others := 0, 0
-	for name, k := range f.hosts {
-		if !f.isActive(name, k) {
+	restarted, others := 0, 0
+	for name, peer := range f.hosts {
+		if !f.isActive(name, peer) {
 			continue
 		}
 		others++
 		switch {
-		case k.restarted:
-			anew++
-		case k.reannounced:
+		case peer.restarted:
+			restarted++
+		case peer.reannounced:
 			return false
 		}
 	}
-	return others > 0 && f.initialEnd > int64(minAnnouncementsPerHost*(others+1)) && float64(anew) >= minRestartedShare*float64(others)
+	return others > 0 && f.initialEnd > int64(minAnnouncementsPerHost*(others+1)) && float64(restarted) >= minRestartedShare*float64(others)
 }
 
 // noteInitialEnd records the end of the topic at its first read; the lock is held.
--- a/router/node/balances.go
+++ b/router/node/balances.go
@@ -24,7 +24,7 @@
 	return func() {
 		cancel()
 		running.Wait()
-		n.balances.write(n.treasury.Holdings())
+		n.balances.write(n.allocator.Holdings())
 	}
 }
 
@@ -39,7 +39,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			n.balances.write(n.treasury.Holdings())
+			n.balances.write(n.allocator.Holdings())
 			n.calls.LogCounts()
 		}
 	}
--- a/router/node/config.go
+++ b/router/node/config.go
@@ -104,7 +104,7 @@
 }
 
 // evacuationFraction is the fraction of the time allowed over which the targets of an evacuated domain
-// are withdrawn. The rest covers the order's way to this host and requests that are being sent.
+// are withdrawn. The rest covers the propagation of the order to this host and requests that are being sent.
 const evacuationFraction = 0.5
 
 // evacuationTime is the time over which targets are withdrawn: none if the order may be older than
@@ -149,7 +149,7 @@
 		}
 		gap := change.gap || invalid
 		invalid = false
-		n.treasury.Configure(config.Version, budgets(config), gap)
+		n.allocator.Configure(config.Version, budgets(config), gap)
 		if newest.config == nil || config.Version > newest.config.Version {
 			newest = decodedConfig{config: config, bytes: len(change.value), skipped: i, gap: gap}
 		}
@@ -221,8 +221,8 @@
 	}
 }
 
-// coldFraction is the fraction of the limit of cold targets that hosts aim at: one host in ten may be
-// counted by some hosts and not by others.
+// coldFraction is the fraction of the limit of cold targets that hosts aim at, since they may disagree
+// about their number: one host in ten may be counted by some hosts and not by others.
 const coldFraction = 0.9
 
 // setColdLimits sets the load that cold targets may get.
--- a/router/node/config_test.go
+++ b/router/node/config_test.go
@@ -99,7 +99,7 @@
 	f.publish(limitConfig(3, 1000))
 	f.log.SetFault("a", memlog.Fault{})
 	f.eventually("the newest version is applied", func() bool { return a.handler.Config().Version == 3 })
-	history := a.treasury.History()
+	history := a.allocator.History()
 	is.Equal(history.Since, int64(1)) // nothing was missed
 	is.Equal(history.Lowered["o"], int64(3))
 }
--- a/router/node/entries_test.go
+++ b/router/node/entries_test.go
@@ -52,7 +52,7 @@
 	f.eventually("it serves again", func() bool { return f.call(h, "/r/x", "").body == "one" })
 }
 
-// A draining target must not become ready again by an invalid entry.
+// An invalid entry must not make a draining target ready again.
 func TestInvalidEntryKeepsTargetDraining(t *testing.T) {
 	f := newFleet(t)
 	h := f.start(f.settings("h1"))
--- a/router/node/gauges.go
+++ b/router/node/gauges.go
@@ -10,7 +10,7 @@
 
 // registerGauges registers the gauges of the node's components, which are read on each scrape.
 func (n *Node) registerGauges() {
-	n.observer.RegisterHoldings(n.treasury.Holdings)
+	n.observer.RegisterHoldings(n.allocator.Holdings)
 	n.observer.RegisterLimits(n.targets.Limits)
 	n.observer.RegisterGauge("open_requests", func() float64 { return float64(n.handler.InFlight()) })
 	n.observer.RegisterGauge("unread_bytes", func() float64 { return float64(n.unread.Held()) })
--- a/router/node/node.go
+++ b/router/node/node.go
@@ -34,7 +34,8 @@
 	"maststage.dev/router/unread"
 )
 
-// Environment is a router's interface to the systems around it: names and formats, without decisions.
+// Environment is a router's interface to the systems around it: the shared log, and names and formats.
+// It makes no decisions.
 type Environment struct {
 	Log     eventlog.Log
 	Headers forward.Headers
@@ -70,7 +71,7 @@
 	observer       *observe.Observer
 	handler        *forward.Handler
 	targets        *target.Registry
-	treasury       *prepaid.Allocator
+	allocator      *prepaid.Allocator
 	fleet          *fleet.Fleet
 	retries        *retrybudget.Set
 	overload       *overload.Monitor
@@ -135,10 +136,10 @@
 	n.newFleet(incarnation)
 	n.guard.SetPeers(n.fleet)
 	n.retries = retrybudget.NewSet(retryLimits(cfg), n.knownHosts, time.Now())
-	n.newTreasury(incarnation)
+	n.newAllocator(incarnation)
 	n.unread = unread.New(int64(cfg.Callers.UnreadBytes), func() { n.observer.Count("callers_cut_total") })
 	n.handler = forward.New(forward.Options{
-		Names: env.Headers, Targets: n.targets, Budgets: n.treasury, Retries: n.retries,
+		Names: env.Headers, Targets: n.targets, Budgets: n.allocator, Retries: n.retries,
 		StreamPace: streampace.New(), Overload: n.overload, Quarantine: n.guard, Unread: n.unread,
 		Observer: n.observer, CloseConnections: n.leaving, MayBegin: n.admits, Suspended: n.suspendedTime, Rollouts: n.rollouts,
 	})
@@ -226,10 +227,12 @@
 			n.env.TargetsTopic: n.targetsReplica,
 			n.env.HostsTopic:   n.hostsReplica,
 		},
-		Lend:       func(ctx context.Context, ask prepaid.LoanRequest) prepaid.Loan { return n.treasury.Lend(ctx, ask) },
-		Recall:     func(id string) int64 { return n.treasury.Recall(id) },
-		Credit:     func(gift prepaid.Transfer) bool { return n.treasury.Credit(gift) },
-		History:    func() prepaid.LimitHistory { return n.treasury.History() },
+		Lend: func(ctx context.Context, request prepaid.LoanRequest) prepaid.Loan {
+			return n.allocator.Lend(ctx, request)
+		},
+		Recall:     func(id string) int64 { return n.allocator.Recall(id) },
+		Credit:     func(transfer prepaid.Transfer) bool { return n.allocator.Credit(transfer) },
+		History:    func() prepaid.LimitHistory { return n.allocator.History() },
 		Quarantine: n.guard,
 		Rollouts:   n.rollouts,
 		OnPull:     func(outcome string) { n.observer.Count(fmt.Sprintf("pulls_total{outcome=%q}", outcome)) },
@@ -260,12 +263,12 @@
 	})
 }
 
-func (n *Node) newTreasury(incarnation string) {
+func (n *Node) newAllocator(incarnation string) {
 	b := n.cfg.Budgets
-	n.treasury = prepaid.New(prepaid.Options{
+	n.allocator = prepaid.New(prepaid.Options{
 		Log: n.env.Log, Topic: n.env.BudgetsTopic, Partitions: n.cfg.Log.Partitions,
 		Host:              n.cfg.Host.Name + "/" + incarnation,
-		Sizing:            plan(n.cfg),
+		Sizing:            allocationSizing(n.cfg),
 		Timeout:           settings.Milliseconds(n.cfg.Log.TimeoutMs),
 		RefreshInterval:   settings.Milliseconds(b.IntervalMs),
 		MaxWait:           settings.Milliseconds(b.WaitMs),
@@ -282,9 +285,9 @@
 	})
 }
 
-// keepers returns how many hosts keep the tokens of a budget and whether this host is one of them. It
-// is not before it knows the other hosts: until then it would take itself for the only host, and take
-// that host's allocation.
+// keepers returns how many hosts hold the tokens of a budget and whether this host is one of them.
+// self is false until this host knows the others: it would otherwise assume that it is the only host,
+// and take an allocation sized for a single one.
 func (n *Node) keepers(organisation string) (count int, self bool) {
 	if !n.hostsReplica.Loaded() {
 		return 1, false
@@ -292,8 +295,8 @@
 	return n.fleet.Keepers(organisation)
 }
 
-// elected reports whether this host is one of those that share a duty: not before it knows the other
-// hosts, and not once it has announced that it is leaving.
+// elected reports whether this host is one of those that share a duty. self is false until this host
+// knows the others, and once it drains.
 func (n *Node) elected(duty string, count int) (hosts int, self bool) {
 	if !n.hostsReplica.Loaded() || n.Draining() {
 		return count, false
@@ -324,7 +327,7 @@
 	guard.Go("configuration", func() { n.applyConfigs(ctx) })
 	guard.Go("archive", func() { n.newArchive().Run(ctx) })
 	guard.Go("fleet", func() { n.fleet.Run(ctx) })
-	guard.Go("treasury", func() { n.treasury.Run(ctx) })
+	guard.Go("treasury", func() { n.allocator.Run(ctx) })
 	guard.Go("quarantine", func() { n.guard.Run(ctx) })
 	guard.Go("limits of targets", func() { n.exchangeLimits(ctx) })
 	guard.Go("unread answers", func() { n.unread.Run(ctx) })
--- a/router/node/reload.go
+++ b/router/node/reload.go
@@ -29,7 +29,7 @@
 	}
 	n.reloaded = fresh
 	n.retries.SetLimits(retryLimits(fresh))
-	n.treasury.SetSizing(plan(fresh))
+	n.allocator.SetSizing(allocationSizing(fresh))
 	n.fleet.SetSeeds(fresh.Host.Seeds)
 	n.targets.SetRegions(fresh.Host.RegionOf())
 	n.targets.SetDrainLimit(drainWindow(settings.Milliseconds(fresh.Bounds.DrainMs)))
@@ -56,7 +56,7 @@
 	}
 }
 
-func plan(s *settings.Settings) prepaid.Sizing {
+func allocationSizing(s *settings.Settings) prepaid.Sizing {
 	b := s.Budgets
 	return prepaid.Sizing{
 		Horizon: b.HorizonS, FullSpan: b.FullSpanS, MostPart: b.MostPart, LeastPart: b.LeastPart, EvenPart: b.EvenPart, MostShares: b.MostShares,
--- a/router/node/rollouts.go
+++ b/router/node/rollouts.go
@@ -23,8 +23,8 @@
 	evaluateInterval = 500 * time.Millisecond
 	// maxStateAge is how long ago the log must have confirmed the states for this host to decide.
 	maxStateAge = 3 * time.Second
-	// versionCountTTL is how long a count of a service's targets is used: requests need it while a
-	// rollout is undecided, and counting all targets costs each of them as much as its choice.
+	// versionCountTTL is how long a count of a service's targets is cached: each request needs it while
+	// a rollout is undecided, and counting all targets costs as much as choosing one.
 	versionCountTTL = 200 * time.Millisecond
 )
 
@@ -93,10 +93,10 @@
 func (r *rollouts) Sent(a rollout.Request, version string) { r.gate.RequestSent(a, version) }
 
 // Ended implements forward.Rollouts.
-func (r *rollouts) Ended(a rollout.Request, version string, answer rollout.Outcome) {
-	r.gate.RequestEnded(a, version, answer)
-	if !answer.Inconclusive && r.gate.Undecided(a.Service) {
-		r.node.observer.Count(fmt.Sprintf("version_answers_total{service=%q,version=%q,failed=\"%t\"}", a.Service, version, answer.Failed))
+func (r *rollouts) Ended(a rollout.Request, version string, outcome rollout.Outcome) {
+	r.gate.RequestEnded(a, version, outcome)
+	if !outcome.Inconclusive && r.gate.Undecided(a.Service) {
+		r.node.observer.Count(fmt.Sprintf("version_answers_total{service=%q,version=%q,failed=\"%t\"}", a.Service, version, outcome.Failed))
 	}
 }
 
--- a/router/node/stop.go
+++ b/router/node/stop.go
@@ -42,7 +42,7 @@
 	responseTime = 4500 * time.Millisecond
 	// stopMargin is the part of the grace time that is reserved for the exit of the process.
 	stopMargin        = 400 * time.Millisecond
-	giveBackTimeout   = time.Second
+	returnTimeout     = time.Second
 	drainPollInterval = 20 * time.Millisecond
 	quietTime         = 300 * time.Millisecond // without a request, before idle connections are closed
 )
@@ -96,23 +96,23 @@
 		}
 		wait.For(ctx, drainPollInterval)
 	}
-	n.giveBack(ctx)
+	n.returnTokensAndLeave(ctx)
 	n.shutdownServers(deadline)
 	log.WithFields(log.Fields{"open": n.handler.InFlight(), "took": time.Since(started).Round(time.Millisecond)}).Info("graceful shutdown done")
 }
 
-// giveBack returns free tokens to the log or, if that is unreachable, to another host, and removes this
-// host's announcement.
-func (n *Node) giveBack(ctx context.Context) {
-	c, cancel := context.WithTimeout(ctx, giveBackTimeout)
+// returnTokensAndLeave returns free tokens to the log or, if that is unreachable, transfers them to
+// another host, and removes this host's announcement.
+func (n *Node) returnTokensAndLeave(ctx context.Context) {
+	c, cancel := context.WithTimeout(ctx, returnTimeout)
 	defer cancel()
 	up, _ := n.configReplica.Up()
 	if up {
-		if err := n.treasury.Close(c); err != nil {
+		if err := n.allocator.Close(c); err != nil {
 			log.WithError(err).Warn("free tokens not returned to the log")
 		}
 	}
-	n.treasury.TransferAll(c, n.fleet.Transfer)
+	n.allocator.TransferAll(c, n.fleet.Transfer)
 	if !up {
 		return
 	}
--- a/router/node/stop_test.go
+++ b/router/node/stop_test.go
@@ -60,7 +60,7 @@
 	f.ready(a)
 	f.ready(b)
 	free := func(h *host) int64 {
-		held, _ := h.treasury.Holding("o")
+		held, _ := h.allocator.Holding("o")
 		return held.Free
 	}
 	f.eventually("both have an allocation and know each other", func() bool {
--- a/router/node/suspend.go
+++ b/router/node/suspend.go
@@ -14,7 +14,7 @@
 
 // Timing of the return from a suspension.
 const (
-	// maxCatchUp is how long a host accepts no requests at most if nobody reports what it missed: an
+	// maxCatchUp bounds how long a host accepts no requests if nobody reports what it missed: an
 	// unreachable log must not keep all hosts from serving. Three seconds are two long polls and a
 	// pull from another host.
 	maxCatchUp          = 3 * time.Second
@@ -92,5 +92,6 @@
 	return forward.OK
 }
 
-// catchUpWait is how long a request waits for that; then it is refused, to be sent to another host.
+// catchUpWait is how long a request waits for the host to catch up; then it is refused, so that its
+// caller sends it to another host.
 const catchUpWait = 100 * time.Millisecond
--- a/router/prepaid/allocation.go
+++ b/router/prepaid/allocation.go
@@ -282,7 +282,7 @@
 // can be obtained. Otherwise small requests take every token that becomes free and large ones never
 // find enough. It covers the largest requests admitted and those denied: counting only admitted
 // ones, small requests lower the headroom until no large one is admitted again (0 of 400 instead of
-// 33 where a tenth of a large request becomes free at a time).
+// 33, if a tenth of the tokens of a large request becomes free at a time).
 func (al *allocation) headroom(now time.Time) int64 {
 	return int64(max(decayHeadroom(al.largestRequest, now.Sub(al.lastRequestAt)), al.denied.recent(now)))
 }
--- a/router/prepaid/allocator.go
+++ b/router/prepaid/allocator.go
@@ -44,8 +44,8 @@
 	// TransferIdle transfers idle tokens of a host that is not a keeper to a keeper; nil: never.
 	TransferIdle func(ctx context.Context, organisation string, tokens int64) bool
 	// BeforeTransfer is called with what is left of a budget here before idle tokens are sent to
-	// another host: if this host exited during the transfer, it would otherwise be taken to hold
-	// them still. nil: not called.
+	// another host: if this host exited during the transfer, its last report would otherwise still
+	// include them. nil: not called.
 	BeforeTransfer func(h Holding)
 	// FetchHistory asks another host, a different one each time, what it saw of the limits since a
 	// version; nil: none is asked.
--- a/router/prepaid/history.go
+++ b/router/prepaid/history.go
@@ -12,8 +12,8 @@
 // A host that missed configuration versions does not know whether one of them lowered a budget. It
 // therefore spends none of a budget that may have been lowered until it has seen the account under
 // the newest version, which can take long while the log is unavailable, although nearly all changes
-// raise a limit. Hosts that saw every version report which budgets were lowered; the others are
-// spent on.
+// raise a limit. It therefore asks hosts that saw every version which budgets were lowered, and goes
+// on spending all other budgets.
 //
 // Without that report, a host that served most callers of a large organisation denied 1,175
 // requests in 10 s while it held a tenth of the budget, and hosts that borrow from others denied
--- a/router/prepaid/shed.go
+++ b/router/prepaid/shed.go
@@ -8,14 +8,14 @@
 	log "github.com/sirupsen/logrus"
 )
 
-// After the loss of all hosts and of the tokens they held, the rest of a budget goes to the
-// requests of which it serves most. First come, first served would spend nine tenths of it on a few
-// very large requests, and some 12 s later all callers would be refused until the next top-up: from
-// then on 0.13 to 0.24 of all requests were served instead of a quarter and more (simulated fleets
-// of 6 to 300 hosts; the test of that load is in package fleet).
+// After the loss of all hosts and of the tokens they held, the rest of a budget goes to the requests
+// that cost least, so that it serves as many as possible. First come, first served would spend nine
+// tenths of it on a few very large requests, and some 12 s later no tokens would be left until the
+// next top-up: of the requests sent after those 12 s, 0.13 to 0.24 were served instead of a quarter
+// and more (simulated fleets of 6 to 300 hosts; the test of that load is in package fleet).
 //
 // A request is shed in favour of those that cost at most half as much, as long as the unspent
-// tokens do not last for those until budgets can be topped up. While there are more, no request is
+// tokens do not last for those until budgets can be topped up. While they do, no request is
 // shed. Where no tokens were lost, budgets are spent as planned: shedding there too, near the end
 // of any budget or in an outage, cost 0.04 to 0.17 of the worth of days on which the tokens
 // sufficed.
@@ -133,8 +133,8 @@
 func (al *allocation) requestShare(count int, now time.Time) float64 {
 	al.decayDemand(now)
 	share := 1 / float64(max(count, 1))
-	if flow := al.drawRate.rate(now); flow > 0 {
-		share = max(share, min(al.demand/flow, 1))
+	if drawRate := al.drawRate.rate(now); drawRate > 0 {
+		share = max(share, min(al.demand/drawRate, 1))
 	}
 	return share
 }
--- a/router/prepaid/totals.go
+++ b/router/prepaid/totals.go
@@ -19,6 +19,6 @@
 }
 
 // Balance is the sum of free and reserved tokens that follows from the totals.
-func (f Totals) Balance() int64 {
-	return f.Taken + f.Borrowed + f.Recalled + f.Received - f.Returned - f.Lent - f.Given - f.Used
+func (t Totals) Balance() int64 {
+	return t.Taken + t.Borrowed + t.Recalled + t.Received - t.Returned - t.Lent - t.Given - t.Used
 }
--- a/router/quarantine/decision.go
+++ b/router/quarantine/decision.go
@@ -14,8 +14,8 @@
 
 // Timing of decisions.
 const (
-	// rankDelay is how long each counting host leaves the decision to the one ranked before it. It
-	// exceeds the time that asking all hosts takes.
+	// rankDelay is how long each counting host waits for a decision of the one ranked before it. It
+	// is longer than asking all hosts takes.
 	rankDelay = 400 * time.Millisecond
 	// decisionTimeout bounds a decision.
 	decisionTimeout   = 10 * time.Second
--- a/router/quarantine/digest.go
+++ b/router/quarantine/digest.go
@@ -1,5 +1,6 @@
 // Package quarantine identifies requests that crash the targets that run them, so that hosts stop
-// sending them. A request is identified by its content, as its id differs at each attempt.
+// sending them. A request is identified by its content, as its id differs at each attempt. A target
+// "exits under a request" if its process exits while it runs that request.
 package quarantine
 
 import (
@@ -11,7 +12,7 @@
 )
 
 // digestBytes is the length of a Digest. It is long enough that no caller can find a request with the
-// digest of another caller's request: a collision between any two requests of his own takes some 2^64
+// digest of another caller's request: even a collision between any two of its own takes some 2^64
 // tries, and the organisation is part of the digest.
 const digestBytes = 16
 
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -54,7 +54,7 @@
 // The alternative is to report each exit to all hosts, each of which then decides by itself. For one
 // request to be quarantined, with 13 requests interrupted by each of three exits, 300 hosts then make
 // 11,960 calls of 1.6 MB in total, instead of 714 calls of 0.09 MB; 8 hosts make 161 instead of 93
-// (simulated; neither way sent the request too late).
+// (simulated; in neither design was the request sent too late).
 type Guard struct {
 	opts     Options
 	peers    Peers
--- a/router/quarantine/tally.go
+++ b/router/quarantine/tally.go
@@ -13,7 +13,7 @@
 	// this quarantines one of 6,771 interrupted requests; two exits would quarantine 87.
 	earlyExitsToQuarantine = 3
 	// exitsToQuarantine is how many exits quarantine a request however long it ran. A long stream is
-	// rarely the cause and merely in flight at most exits: six instead of eight would quarantine 22 of
+	// in flight during many exits but rarely causes them: six instead of eight would quarantine 22 of
 	// the 6,771.
 	exitsToQuarantine = 8
 	// earlyExitWindow is the time after the first event within which an exit is early. Crashing requests
@@ -49,8 +49,8 @@
 // sufficient reports whether the evidence suffices to quarantine the request.
 func (s *suspect) sufficient() bool {
 	early := 0
-	for _, y := range s.exits {
-		if y {
+	for _, wasEarly := range s.exits {
+		if wasEarly {
 			early++
 		}
 	}
--- a/router/rollout/analysis.go
+++ b/router/rollout/analysis.go
@@ -16,9 +16,10 @@
 const (
 	// minRegression is the smallest increase in the share of bad outcomes that must be found.
 	minRegression = 0.1
-	// falseAlarmProbability is the probability that one test ever rejects a good version.
+	// falseAlarmProbability bounds the probability that any test of a rollout rejects a good version.
 	falseAlarmProbability = 1e-5
-	// lateBucketOffset is how many buckets above the old version's lateQuantile a duration is late: twice it.
+	// A duration is late if it is more than lateBucketOffset buckets above the old version's
+	// lateQuantile: more than about twice as long.
 	lateBucketOffset = 2
 	lateQuantile     = 0.9
 	// minOldOutcomes is how many outcomes of the old version a comparison needs. With fewer, latency
@@ -261,7 +262,7 @@
 }
 
 // compare compares the versions over some routes together. Where the version has several targets,
-// the outcomes of just one prove nothing.
+// the outcomes of just one are no evidence.
 func compare(routes map[string]samples, listed int) (f finding, ok bool) {
 	domains, targets := proportions{}, proportions{}
 	for _, side := range routes {
@@ -305,20 +306,20 @@
 	return n
 }
 
-// mostTargetsBad reports whether most targets with enough outcomes have a bad one: a fault of the
-// version shows at all of its targets.
+// mostTargetsBad reports whether at least half of the targets with enough outcomes have a bad one: a
+// fault of the version shows at all of its targets.
 func (p proportions) mostTargetsBad() bool {
-	asked, bad := 0, 0
+	judged, bad := 0, 0
 	for _, part := range p {
 		if part.total < minOutcomesPerTarget {
 			continue
 		}
-		asked++
+		judged++
 		if part.bad > 0 {
 			bad++
 		}
 	}
-	return 2*bad >= asked
+	return 2*bad >= judged
 }
 
 // logLikelihoodRatio compares the outcomes under a worse version's share of bad ones with the old
--- a/router/rollout/coordinator.go
+++ b/router/rollout/coordinator.go
@@ -187,7 +187,7 @@
 }
 
 // elapsed is the time since the order. A host that received the order late uses the record's start
-// time, though the clock behind it may be off by seconds.
+// time, although the clock of the host that wrote it may be off by seconds.
 func (c *Coordinator) elapsed(v View, now time.Time) time.Duration {
 	elapsed := now.Sub(c.orderReceived)
 	if v.Record.isFor(c.order) && !v.Record.Began.IsZero() {
@@ -209,7 +209,7 @@
 	left := usableBoundsFraction*c.bounds.Share*float64(c.total.Sent) + (1-trialSlackFraction)*c.bounds.Slack - float64(c.total.Trial) - c.estimateUnreported(v)
 	span := min(time.Duration(left/c.rates.notRetryablePerSecond*float64(time.Second)), maxMoveDuration, c.fractionOfPeriod(maxMoveFraction))
 	if span < ReportInterval(v.Hosts) {
-		return 0 // over before all hosts have received the advice
+		return 0 // the move would end before all hosts have received the advice
 	}
 	return span
 }
--- a/router/rollout/gate.go
+++ b/router/rollout/gate.go
@@ -56,7 +56,7 @@
 	cells          map[cell]*counts
 
 	confirmed   map[string]bool      // versions that have no order, or whose order is known
-	unconfirmed map[string]time.Time // versions listed of late, by when they were first listed
+	unconfirmed map[string]time.Time // newly listed versions, and when each was first listed
 }
 
 // NewGate makes the gate of a host. ordersKnown reports whether the host has read all orders given
@@ -75,8 +75,8 @@
 }
 
 // NoteVersion notes that a target of a version is listed. Unless it is the service's first version,
-// its order may still be on its way: the version gets no requests until this host has read all orders
-// given until now.
+// this host may not have read its order yet: the version gets no requests until the host has read all
+// orders given until now.
 func (g *Gate) NoteVersion(name, version string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// unconfirmedVersions lists the versions of a service whose orders may be on their way. It calls
+// unconfirmedVersions lists the versions of a service whose orders may not have been read yet. It calls
 // ordersKnown without the lock: that takes a lock of its own, under which SetOrder is called.
 func (g *Gate) unconfirmedVersions(name string) (versions []string) {
 	for version, since := range g.listUnconfirmed(name) {
@@ -210,8 +210,8 @@
 }
 
 // LastResort returns the version that the request's rule bars for now, if no target of another
-// version is listed: old targets stop as soon as the rollout is done, which this host may not have
-// heard yet.
+// version is listed: old targets stop as soon as the rollout is done, which this host may not know
+// yet.
 func (g *Gate) LastResort(name string, listed map[string]int) (version string, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/router/rollout/gate_test.go
+++ b/router/rollout/gate_test.go
@@ -17,7 +17,7 @@
 
 var firstAttempt = Request{Service: "s", FirstAttempt: true}
 
-// Without an order all versions are used, but a version that shows up later gets nothing until this
+// Without an order all versions are used, but a version that is listed later gets nothing until this
 // host has read all orders given until then.
 func TestVersionWaitsForItsOrder(t *testing.T) {
 	is := is.New(t)
@@ -109,7 +109,7 @@
 	is.True(!g.Rule(firstAttempt, start).Allows("v2"))
 }
 
-// Old targets stop as soon as the rollout is done. A host that has not heard of it uses the new version
+// Old targets stop as soon as the rollout is done. A host that does not know yet uses the new version
 // once no other target is listed, but never a version that was rolled back.
 func TestNewVersionIsLastResort(t *testing.T) {
 	is := is.New(t)
