--- a/router/fleet/fleet.go
+++ b/router/fleet/fleet.go
@@ -237,10 +237,10 @@
 	defer f.mu.Unlock()
 	seen := map[string]bool{f.opts.Self.Address: true, "": true}
 	var list []string
-	for _, k := range f.hosts {
-		if !seen[k.host.Address] {
-			seen[k.host.Address] = true
-			list = append(list, k.host.Address)
+	for _, peer := range f.hosts {
+		if !seen[peer.host.Address] {
+			seen[peer.host.Address] = true
+			list = append(list, peer.host.Address)
 		}
 	}
 	for _, seed := range f.seeds {
--- a/router/fleet/keepers.go
+++ b/router/fleet/keepers.go
@@ -31,8 +31,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := rendezvous.Score(duty, f.opts.Self.Name)
-	for name, k := range f.hosts {
-		if f.isActive(name, k) && rendezvous.Score(duty, name) > own {
+	for name, peer := range f.hosts {
+		if f.isActive(name, peer) && rendezvous.Score(duty, name) > own {
 			return false
 		}
 	}
@@ -40,8 +40,8 @@
 }
 
 // isActive reports whether a host is not this one and has not expired; the lock is held.
-func (f *Fleet) isActive(name string, k peerState) bool {
-	return name != f.opts.Self.Name && time.Since(k.lastSeen) < peerExpiry
+func (f *Fleet) isActive(name string, peer peerState) bool {
+	return name != f.opts.Self.Name && time.Since(peer.lastSeen) < peerExpiry
 }
 
 // domainSizes counts the active hosts in each failure domain and in total, this host included;
@@ -49,9 +49,9 @@
 func (f *Fleet) domainSizes() (domains map[string]int, total int) {
 	domains = map[string]int{f.opts.Self.Domain: 1}
 	total = 1
-	for name, k := range f.hosts {
-		if f.isActive(name, k) {
-			domains[k.host.Domain]++
+	for name, peer := range f.hosts {
+		if f.isActive(name, peer) {
+			domains[peer.host.Domain]++
 			total++
 		}
 	}
@@ -91,8 +91,8 @@
 
 func (f *Fleet) listActivePeers() []string {
 	names := make([]string, 0, len(f.hosts))
-	for name, k := range f.hosts {
-		if f.isActive(name, k) {
+	for name, peer := range f.hosts {
+		if f.isActive(name, peer) {
 			names = append(names, name)
 		}
 	}
@@ -102,9 +102,9 @@
 // domainPeers lists the other active hosts in this host's failure domain; the lock is held.
 func (f *Fleet) domainPeers() []peerState {
 	var same []peerState
-	for name, k := range f.hosts {
-		if f.isActive(name, k) && k.host.Domain == f.opts.Self.Domain {
-			same = append(same, k)
+	for name, peer := range f.hosts {
+		if f.isActive(name, peer) && peer.host.Domain == f.opts.Self.Domain {
+			same = append(same, peer)
 		}
 	}
 	return same
--- a/router/fleet/loss_test.go
+++ b/router/fleet/loss_test.go
@@ -39,16 +39,16 @@
 		f.client.http.Transport = calls
 		announceHosts(f, l.all...)
 		f.SetBudgetShares(budgetSharesOf(l.limits))
-		tr := prepaid.New(prepaid.Options{
+		allocator := prepaid.New(prepaid.Options{
 			Log: l.log.Host(self.Name), Topic: "b", Partitions: 4, Host: fmt.Sprintf("%s/%d", self.Name, incarnation),
 			Sizing: prepaid.DefaultSizing, Timeout: time.Second, RefreshInterval: 400 * time.Millisecond, MaxWait: 150 * time.Millisecond,
 			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.TransferIdle,
 		})
-		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
+		f.opts.Lend, f.opts.Recall, f.opts.Credit = allocator.Lend, allocator.Recall, allocator.Credit
 		calls[self.Address] = f.Handler()
-		tr.Configure(1, l.budgets, true)
-		l.allocators = append(l.allocators, tr)
-		l.running.Go(func() { tr.Run(ctx) })
+		allocator.Configure(1, l.budgets, true)
+		l.allocators = append(l.allocators, allocator)
+		l.running.Go(func() { allocator.Run(ctx) })
 	}
 }
 
@@ -92,11 +92,11 @@
 		}
 		return
 	}
-	tr := l.allocators[r.IntN(len(l.allocators))]
+	allocator := l.allocators[r.IntN(len(l.allocators))]
 	tokens := int64(k.tokens * (0.4 + 1.2*r.Float64()))
 	took := time.Duration((0.2 + r.Float64()) * float64(time.Second))
 	l.running.Go(func() {
-		res, err := tr.ReserveFor(context.Background(), prepaid.Request{Organisation: organisation, Tokens: tokens, Priority: k.priority})
+		res, err := allocator.ReserveFor(context.Background(), prepaid.Request{Organisation: organisation, Tokens: tokens, Priority: k.priority})
 		if err != nil {
 			return
 		}
@@ -144,14 +144,14 @@
 	before := time.Duration((25 + 10*r.Float64()) * float64(time.Second))
 	// The budgets are exhausted within some seconds of the restart, some of them before the loss.
 	lasts := before.Seconds() + 8*r.Float64()
-	flow := 0.0
+	tokensPerSecond := 0.0
 	for _, k := range kinds {
-		flow += k.share * k.tokens * rate
+		tokensPerSecond += k.share * k.tokens * rate
 	}
 	l := &lossFleet{t: t, all: makeHosts(size, 4), log: memlog.New(), limits: map[string]int64{}}
 	for i := range 10 {
 		share := float64(2*(10-i)-1) / 100 // of all requests
-		l.limits[fmt.Sprintf("org%d", i)] = int64(share * flow * lasts * (0.9 + 0.3*r.Float64()))
+		l.limits[fmt.Sprintf("org%d", i)] = int64(share * tokensPerSecond * lasts * (0.9 + 0.3*r.Float64()))
 	}
 	for organisation, limit := range l.limits {
 		l.budgets = append(l.budgets, prepaid.Budget{Organisation: organisation, Limit: limit})
--- a/router/fleet/pool_test.go
+++ b/router/fleet/pool_test.go
@@ -42,22 +42,22 @@
 		f.client.http.Transport = calls
 		announceHosts(f, all...)
 		f.SetBudgetShares(budgetSharesOf(limits))
-		tr := prepaid.New(prepaid.Options{
+		allocator := prepaid.New(prepaid.Options{
 			Log: p.log.Host(self.Name), Topic: "b", Partitions: 4, Host: self.Name, Sizing: prepaid.DefaultSizing,
 			Timeout: 100 * time.Millisecond, RefreshInterval: 400 * time.Millisecond, MaxWait: 100 * time.Millisecond,
 			Hosts: f.Size, Keepers: f.Keepers, Borrow: f.Borrow, BorrowFromKeepers: f.BorrowFromKeepers, TransferIdle: f.TransferIdle,
 		})
-		f.opts.Lend, f.opts.Recall, f.opts.Credit = tr.Lend, tr.Recall, tr.Credit
+		f.opts.Lend, f.opts.Recall, f.opts.Credit = allocator.Lend, allocator.Recall, allocator.Credit
 		calls[self.Address] = f.Handler()
-		p.allocators = append(p.allocators, tr)
+		p.allocators = append(p.allocators, allocator)
 	}
 	var budgets []prepaid.Budget
 	for organisation, limit := range limits {
 		budgets = append(budgets, prepaid.Budget{Organisation: organisation, Limit: limit})
 	}
-	for _, tr := range p.allocators {
-		tr.Configure(1, budgets, true)
-		go tr.Run(ctx)
+	for _, allocator := range p.allocators {
+		allocator.Configure(1, budgets, true)
+		go allocator.Run(ctx)
 	}
 	return p
 }
@@ -80,8 +80,8 @@
 
 // reserveAt reserves tokens at one host and uses all of them.
 func (p *pool) reserveAt(host int, organisation string, tokens int64) bool {
-	tr := p.allocators[host]
-	r, err := tr.Reserve(context.Background(), organisation, tokens)
+	allocator := p.allocators[host]
+	r, err := allocator.Reserve(context.Background(), organisation, tokens)
 	if err != nil {
 		return false
 	}
@@ -91,8 +91,8 @@
 
 // free sums the free tokens of all hosts.
 func (p *pool) free(organisation string) (sum int64) {
-	for _, tr := range p.allocators {
-		if h, ok := tr.Holding(organisation); ok {
+	for _, allocator := range p.allocators {
+		if h, ok := allocator.Holding(organisation); ok {
 			sum += h.Free
 		}
 	}
@@ -139,8 +139,8 @@
 		}
 	}
 	keepers, asker := 0, -1
-	for i, tr := range p.allocators {
-		if h, _ := tr.Holding("org"); h.Keeper {
+	for i, allocator := range p.allocators {
+		if h, _ := allocator.Holding("org"); h.Keeper {
 			keepers++
 		} else {
 			asker = i
@@ -164,8 +164,8 @@
 	for range 20 {
 		is.True(p.reserveAnywhere("org", request))
 	}
-	for i, tr := range p.allocators {
-		if h, _ := tr.Holding("org"); h.Keeper {
+	for i, allocator := range p.allocators {
+		if h, _ := allocator.Holding("org"); h.Keeper {
 			p.log.SetFault(fmt.Sprintf("h%d", i), memlog.Fault{Refuse: true})
 		}
 	}
--- a/router/fleet/quarantine.go
+++ b/router/fleet/quarantine.go
@@ -55,24 +55,24 @@
 type emptyResponse struct{}
 
 // CountingHosts lists the addresses of the hosts, other than this one, that count the target exits
-// under a request, and this host's position among all of them; the position of a host that does
-// not count is their number.
-func (f *Fleet) CountingHosts(d quarantine.Digest) (others []string, place int) {
+// under a request, and this host's rank among all of them; for a host that does not count, rank is
+// their number.
+func (f *Fleet) CountingHosts(d quarantine.Digest) (others []string, rank int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	self := f.opts.Self.Name
 	names := append([]string{self}, f.activePeers()...)
 	ranked := rendezvous.Rank(d.String(), names, func(name string) string { return name })
 	ranked = ranked[:min(len(ranked), countingHosts)]
-	place = len(ranked)
+	rank = len(ranked)
 	for i, name := range ranked {
 		if name == self {
-			place = i
+			rank = i
 			continue
 		}
 		others = append(others, f.hosts[name].host.Address)
 	}
-	return others, place
+	return others, rank
 }
 
 // Report sends reports of target exits to a counting host.
@@ -122,12 +122,12 @@
 
 // forEach calls do for each address, up to maxConcurrentCalls at the same time.
 func (f *Fleet) forEach(addresses []string, do func(address string)) {
-	places := make(chan struct{}, maxConcurrentCalls)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var all sync.WaitGroup
 	for _, address := range addresses {
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			do(address)
 		})
 	}
--- a/router/fleet/relay.go
+++ b/router/fleet/relay.go
@@ -58,10 +58,10 @@
 		return nil
 	}
 	same := append(f.domainPeers(), peerState{host: f.opts.Self})
-	ranked := rendezvous.Rank(topic, same, func(k peerState) string { return k.host.Name })
+	ranked := rendezvous.Rank(topic, same, func(peer peerState) string { return peer.host.Name })
 	ranked = ranked[:min(len(ranked), readerCount(domains[f.opts.Self.Domain]))]
-	for _, k := range ranked {
-		if k.host.Name == f.opts.Self.Name {
+	for _, peer := range ranked {
+		if peer.host.Name == f.opts.Self.Name {
 			return nil
 		}
 	}
--- a/router/fleet/transfers.go
+++ b/router/fleet/transfers.go
@@ -40,8 +40,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	incarnations := map[string]string{}
-	for _, k := range f.hosts {
-		incarnations[k.host.Address] = k.host.Incarnation
+	for _, peer := range f.hosts {
+		incarnations[peer.host.Address] = peer.host.Incarnation
 	}
 	list := make([]peerHost, 0, len(addresses))
 	for _, a := range addresses {
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -19,7 +19,7 @@
 type Peers interface {
 	// CountingHosts lists the addresses of the hosts that count the target exits under a request,
 	// without this host. All hosts get the same ranking. rank is this host's rank in it, or the number
-	// of counting hosts if it is none.
+	// of counting hosts if it is not one of them.
 	CountingHosts(d Digest) (others []string, rank int)
 	// Report reports target exits to a counting host.
 	Report(ctx context.Context, address string, reports []Report) error
@@ -169,7 +169,8 @@
 	}
 }
 
-// HandleNotice applies another host's decision. A host that has seen the request complete lifts it.
+// HandleNotice applies another host's decision. A host that has seen the request complete lifts the
+// quarantine at all hosts.
 func (g *Guard) HandleNotice(n Notice) {
 	d := n.Entry.Digest
 	switch {
