--- a/router/fleet/loss.go
+++ b/router/fleet/loss.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// maxSequence is the highest sequence number, plus a margin of one, that a host can have reached
-// if it started when this one did.
+// maxSequence is the highest sequence number that a host can have reached if it started when this
+// one did, plus a margin of one.
 func (f *Fleet) maxSequence(now time.Time) int64 {
 	return 2 + int64(now.Sub(f.createdAt)/(f.opts.AnnounceInterval/2+1))
 }
--- a/router/fleet/pull.go
+++ b/router/fleet/pull.go
@@ -103,7 +103,7 @@
 	return chosen
 }
 
-// rank orders the candidates, lowest first; the lock is held.
+// rank returns the priority of a host to pull from, lowest first; the lock is held.
 func (p *puller) rank(address string) int {
 	switch {
 	case address == p.lastSource:
--- a/router/node/config_test.go
+++ b/router/node/config_test.go
@@ -83,8 +83,9 @@
 }
 
 // The log returns three versions at once, as after an outage: the second doubles a budget and the third
-// sets it back. Only the third is applied, but the budget must know of both, or this host and all
-// others that read the same would have to query the account or wait for it.
+// sets it back. Only the third is applied, but the budget must get the limits of both: otherwise this
+// host, and all others that read the same, would count the second as missed and have to ask others or
+// wait for the account.
 func TestLimitsOfSkippedVersionsAreSeen(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
--- a/router/node/rollout_test.go
+++ b/router/node/rollout_test.go
@@ -156,8 +156,8 @@
 	f.is.Equal(l.failed.Load(), int64(0))
 }
 
-// A version whose responses fail is rolled back after some of them, finally: no host sends it anything
-// more, nor does one that starts later.
+// A version whose responses fail is rolled back for good after some failures: no host sends it another
+// request, nor does one that starts later.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	f, hosts, _ := rolloutFleet(t)
 	l := f.load(5*time.Millisecond, hosts...)
@@ -180,7 +180,7 @@
 	f.is.True(more.completed.Load() > 20)
 }
 
-// An order that is withdrawn before it is decided is rolled back, and an invalid one changes nothing.
+// A rollout whose order is withdrawn before the decision is rolled back; an invalid order changes nothing.
 func TestWithdrawnOrderIsRolledBack(t *testing.T) {
 	f, hosts, _ := rolloutFleet(t)
 	l := f.load(10*time.Millisecond, hosts...)
--- a/router/node/stop.go
+++ b/router/node/stop.go
@@ -47,7 +47,7 @@
 	quietTime         = 300 * time.Millisecond // without a request, before idle connections are closed
 )
 
-// scaleToGrace scales these times to a grace time shorter than referenceGrace.
+// scaleToGrace scales one of the times above down if the grace time is shorter than referenceGrace.
 func (n *Node) scaleToGrace(d time.Duration) time.Duration {
 	return min(d, time.Duration(float64(d)/float64(referenceGrace)*float64(settings.Seconds(n.cfg.Bounds.GraceS))))
 }
--- a/router/prepaid/allocation.go
+++ b/router/prepaid/allocation.go
@@ -60,7 +60,7 @@
 	version            int64 // of the newest configuration
 	limit              int64 // prepaid amount according to that
 	requiredVersion    int64 // nothing is spent until the account has been seen under this version or later
-	requiredBeforeGap  int64 // requiredVersion before the missed versions, which may have lowered the limit, plus 1; 0: none missed
+	requiredBeforeGap  int64 // 1 + requiredVersion as before versions were missed, one of which may have lowered the limit; 0: none missed
 	free               int64
 	reserved           int64
 	totals             Totals
