--- a/router/fleet/history.go
+++ b/router/fleet/history.go
@@ -7,19 +7,19 @@
 	"maststage.dev/router/prepaid"
 )
 
-// historyRequest asks what a host saw of the limits of budgets.
+// historyRequest asks for the changes of budget limits that a host has seen.
 type historyRequest struct {
-	Since int64 `json:"since"` // the version from which on
+	Since int64 `json:"since"` // version of the configuration
 }
 
 type historyResponse struct {
 	Since   int64            `json:"since"`
 	UpTo    int64            `json:"up_to"`
-	Lowered map[string]int64 `json:"lowered,omitempty"` // only versions above the one asked for
+	Lowered map[string]int64 `json:"lowered,omitempty"` // version of the last reduction, by organisation; only those above Since of the request
 }
 
-// FetchHistory asks one other host, drawn anew each time, what it saw of the limits of budgets
-// since a version.
+// FetchHistory asks one other host, chosen at random each time, for the changes of budget limits
+// that it has seen since a version.
 func (f *Fleet) FetchHistory(ctx context.Context, since int64) (h prepaid.LimitHistory, ok bool) {
 	addresses := f.addresses()
 	f.mu.Lock()
@@ -28,23 +28,23 @@
 	if len(addresses) == 0 {
 		return h, false
 	}
-	var got historyResponse
-	err := f.calls.do(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &got)
-	f.noteSilent(addresses[0], err)
-	return prepaid.LimitHistory{Since: got.Since, UpTo: got.UpTo, Lowered: got.Lowered}, err == nil
+	var response historyResponse
+	err := f.client.callWithTimeout(ctx, addresses[0], pathHistory, historyRequest{Since: since}, &response)
+	f.recordCallResult(addresses[0], err)
+	return prepaid.LimitHistory{Since: response.Since, UpTo: response.UpTo, Lowered: response.Lowered}, err == nil
 }
 
 func (f *Fleet) serveHistory(w http.ResponseWriter, r *http.Request) {
-	var ask historyRequest
-	if !read(w, r, &ask) {
+	var request historyRequest
+	if !readJSON(w, r, &request) {
 		return
 	}
 	h := f.opts.History()
-	answer := historyResponse{Since: h.Since, UpTo: h.UpTo, Lowered: map[string]int64{}}
+	response := historyResponse{Since: h.Since, UpTo: h.UpTo, Lowered: map[string]int64{}}
 	for organisation, version := range h.Lowered {
-		if version > ask.Since {
-			answer.Lowered[organisation] = version
+		if version > request.Since {
+			response.Lowered[organisation] = version
 		}
 	}
-	write(w, answer)
+	writeJSON(w, response)
 }
--- a/router/fleet/silent_test.go
+++ b/router/fleet/silent_test.go
@@ -15,7 +15,8 @@
 	"maststage.dev/standin/faultlink"
 )
 
-// Connections to another host that go silent without a reset cost one call its time.
+// Open connections to another host that go silent without a reset cost no more than one timed-out
+// call.
 func TestSilentPeerConnectionsCostOneCall(t *testing.T) {
 	is := is.New(t)
 	lender := New(Options{
@@ -27,31 +28,32 @@
 	link := faultlink.Open(t, faultlink.Options{Listen: "127.0.0.1:0", To: server.Listener.Addr().String()})
 	borrower := New(Options{Self: Host{Name: "borrower"}, CallTimeout: time.Second, Seeds: []string{link.Address()}})
 	borrow := func() int64 { return borrower.Borrow(context.Background(), "org", 10, 0).Tokens }
-	slow := link.Strike(faultlink.Fault{Delay: 10 * time.Millisecond}) // so that calls overlap
+	slow := link.Inject(faultlink.Fault{Delay: 10 * time.Millisecond}) // so that calls overlap
 	var all sync.WaitGroup
 	for range 4 {
 		all.Go(func() { borrow() })
 	}
 	all.Wait()
 	slow()
-	link.Hush()
+	link.Silence()
 	is.Equal(borrow(), int64(0)) // on a silent connection
 	is.Equal(borrow(), int64(10))
 }
 
-// A host of an earlier build answers that it does not know a call. It is asked for tokens as before.
-func TestUnknownCallIsNotSilence(t *testing.T) {
+// A host of an earlier build responds that it does not know a call. It still counts as
+// responsive and is asked for tokens as before.
+func TestUnknownCallDoesNotMarkHostSilent(t *testing.T) {
 	is := is.New(t)
 	older := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(older.Close)
 	address := older.Listener.Addr().String()
 	f := newFleet(Host{Name: "h0", Domain: "z0"})
-	announced(f, Host{Name: "older", Domain: "z0", Address: address})
+	announceHosts(f, Host{Name: "older", Domain: "z0", Address: address})
 	_, err := f.reportTo(t.Context(), address, rollout.Report{Service: "s"})
 	is.True(err != nil)
-	is.True(!f.wasSilent(address))
+	is.True(!f.recentlySilent(address))
 	older.Close()
 	_, err = f.reportTo(t.Context(), address, rollout.Report{Service: "s"})
 	is.True(err != nil)
-	is.True(f.wasSilent(address))
+	is.True(f.recentlySilent(address))
 }
--- a/router/node/config_test.go
+++ b/router/node/config_test.go
@@ -83,8 +83,9 @@
 }
 
 // The log returns three versions at once, as after an outage: the second doubles a budget and the third
-// sets it back. Only the third is applied, but the budget must know of both, or this host and all
-// others that read the same would have to query the account or wait for it.
+// sets it back. Only the third is applied, but the budget must get the limits of both: otherwise this
+// host, and all others that read the same, would count the second as missed and have to ask others or
+// wait for the account.
 func TestLimitsOfSkippedVersionsAreSeen(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t)
@@ -99,7 +100,7 @@
 	f.publish(limitConfig(3, 1000))
 	f.log.SetFault("a", memlog.Fault{})
 	f.eventually("the newest version is applied", func() bool { return a.handler.Config().Version == 3 })
-	history := a.treasury.History()
+	history := a.allocator.History()
 	is.Equal(history.Since, int64(1)) // nothing was missed
 	is.Equal(history.Lowered["o"], int64(3))
 }
--- a/router/quarantine/guard.go
+++ b/router/quarantine/guard.go
@@ -19,7 +19,7 @@
 type Peers interface {
 	// CountingHosts lists the addresses of the hosts that count the target exits under a request,
 	// without this host. All hosts get the same ranking. rank is this host's rank in it, or the number
-	// of counting hosts if it is none.
+	// of counting hosts if it is not one of them.
 	CountingHosts(d Digest) (others []string, rank int)
 	// Report reports target exits to a counting host.
 	Report(ctx context.Context, address string, reports []Report) error
@@ -54,7 +54,7 @@
 // The alternative is to report each exit to all hosts, each of which then decides by itself. For one
 // request to be quarantined, with 13 requests interrupted by each of three exits, 300 hosts then make
 // 11,960 calls of 1.6 MB in total, instead of 714 calls of 0.09 MB; 8 hosts make 161 instead of 93
-// (simulated; neither way sent the request too late).
+// (simulated; in neither design was the request sent too late).
 type Guard struct {
 	opts     Options
 	peers    Peers
@@ -169,7 +169,8 @@
 	}
 }
 
-// HandleNotice applies another host's decision. A host that has seen the request complete lifts it.
+// HandleNotice applies another host's decision. A host that has seen the request complete lifts the
+// quarantine at all hosts.
 func (g *Guard) HandleNotice(n Notice) {
 	d := n.Entry.Digest
 	switch {
